--- a/decide/generation/config.go
+++ b/decide/generation/config.go
@@ -6,52 +6,51 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Config holds what a generation is decided by; it does not change while the generation runs.
+// Config holds the settings of one generation. They do not change while it runs, except that Suspended moves the deadline.
 type Config struct {
-	MaxTokens   vaneyoke.Tokens // 0 where the answer has no limit of its own
-	Stop        Stop
-	Repeatable  bool              // false where no second run may be started
-	Recovery    vaneyoke.Recovery // how a silent attempt is weighed
-	MaxWait     time.Duration     // longest time without progress before the generation is given up
-	MaxLosses   int               // losses in a row without a token between them before it is given up
-	Deadline    time.Time         // when the caller stops waiting; the zero time where it never does
-	MaxUnsent   time.Duration     // longest wait for an upstream before anything was run; 0 stands for MaxWait
-	MaxAttempts int               // runs that may be sent to upstreams; 0 for no bound
-	// ProbeEvery is the time without a first piece after which an upstream is asked whether it is there, again and again;
-	// 0 for never.
+	MaxTokens        vaneyoke.Tokens // 0 for no limit
+	Stop             Stop
+	Repeatable       bool              // false if the request must not run a second time
+	Recovery         vaneyoke.Recovery // how to recover from a silent attempt
+	MaxWait          time.Duration     // longest time without a new token before the generation fails
+	MaxLosses        int               // consecutive losses, without a token in between, before the generation fails
+	Deadline         time.Time         // when the caller stops waiting; zero for never
+	MaxPlacementWait time.Duration     // longest wait for an upstream while no run can have started; 0 for MaxWait
+	MaxAttempts      int               // runs that may be sent to upstreams; 0 for no limit
+	// ProbeEvery is the interval of liveness probes of an upstream until its first batch arrives; 0 for no probes.
 	ProbeEvery time.Duration
-	// AskSilent is how often an upstream that has given no first piece in time is asked whether it works on the run, and is
-	// waited for as long again where it does; 0 for never. Where it is not 0, an upstream that falls silent between pieces is
-	// asked each time before the run is given up.
-	AskSilent int
-	Pause     time.Duration // pause between pieces that is aimed at; 0 for none
-	// LastWaits says that the last attempt that MaxAttempts allows is not given up for silence alone, and the one before it only
-	// where its upstream, when asked, does not work on it: there may be nobody to go on with the answer.
-	LastWaits bool
-	// Opaque says that an attempt goes on from the number of the last piece alone, and that no engine gives a run's
-	// stream a second time.
+	// MaxRunQueries is how many times an upstream whose first batch is overdue is asked for the state of the run; 0 for never. While
+	// it reports the run as queued or running, each query extends the wait by the initial limit. If MaxRunQueries is not 0, an
+	// upstream that falls silent between batches is queried every time before the run is given up.
+	MaxRunQueries     int
+	EventIntervalGoal time.Duration // target interval between chunks; 0 for none
+	// KeepLastAttempt says that silence alone never ends the last attempt that MaxAttempts allows, and ends the one before it only if
+	// its upstream reports that it is not working on the run: there may be no other upstream left to continue the answer.
+	KeepLastAttempt bool
+	// Opaque says that the chunks are not token ids: an attempt continues from the number of the last chunk alone, and no engine
+	// can send a run's stream a second time.
 	Opaque  bool
-	Silence Silence // when silence is taken for a loss
-	Backoff Backoff // pause before the second and later losses in a row are mended
+	Silence Silence // when a silent attempt becomes suspect
+	Backoff Backoff // delay before the attempt that follows the second and later consecutive losses
 }
 
-// Silence holds the bounds of the silence judgement.
+// Silence holds the thresholds of the failure detector, which suspects attempts that send nothing.
 type Silence struct {
-	FirstToken time.Duration // silence before an attempt's first token that makes it suspect
-	Floor      time.Duration // shortest silence between tokens that makes an attempt suspect
-	Ceiling    time.Duration // longest silence between tokens that does not
-	Deviations float64       // mean deviations over the mean gap that make an attempt suspect
-	Usual      float64       // mean gaps that are nothing unusual, whatever the ceiling; 0 for none
-	Patience   float64       // how many times the suspect silence a frugal attempt is waited for
+	FirstToken  time.Duration // silence limit before the first token; bounds the limit that follows from an expected TTFT, too
+	Floor       time.Duration // lower bound of the silence limit between tokens
+	Ceiling     time.Duration // upper bound of the silence limit between tokens, unless MinMeanGaps exceeds it
+	Deviations  float64       // silence limit between tokens: the mean gap plus this many mean deviations
+	MinMeanGaps float64       // lower bound of the silence limit in mean gaps, even above Ceiling; 0 for none
+	Patience    float64       // factor on the silence limit of frugal, non-repeatable and already suspect attempts
 }
 
-// Backoff holds the bounds of the pause between tries.
+// Backoff holds the bounds of the exponential backoff between attempts.
 type Backoff struct {
 	Base time.Duration
 	Cap  time.Duration
 }
 
-// DefaultConfig returns the settings that the nodes start from.
+// DefaultConfig returns the configuration that nodes adapt to their settings.
 func DefaultConfig() Config {
 	return Config{
 		Repeatable: true,
--- a/decide/generation/effect.go
+++ b/decide/generation/effect.go
@@ -6,37 +6,38 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Effect is something that the shell has to do; effects are carried out in their order.
+// Effect is an action for the caller of Handle, which carries effects out in order.
 type Effect interface{ effect() }
 
-// Place asks for an upstream for an attempt.
+// Place asks for an upstream for an attempt; Placed or NotPlaced answers it.
 type Place struct {
 	Attempt vaneyoke.Attempt
-	Avoid   []vaneyoke.UpstreamID // upstreams that lost this generation since its last token, latest last
-	Prefer  vaneyoke.UpstreamID   // upstream that holds a replica of the lost run; "" for none
-	After   time.Duration         // pause before the choice
+	Avoid   []vaneyoke.UpstreamID // upstreams that lost an attempt since the last accepted token, latest last
+	Prefer  vaneyoke.UpstreamID   // upstream that holds a replica of the lost run's KV cache; "" for none
+	Delay   time.Duration         // delay before an upstream is chosen
 	Retry   bool                  // whether the attempt counts against the retry budget
 }
 
-// Inspect asks an engine how many of the answer's last tokens stand for text that was held back as an unfinished character.
-type Inspect struct {
+// InspectTail asks an engine how many of the answer's last tokens have text that the detokenizer buffers, because it ends within a
+// character.
+type InspectTail struct {
 	Attempt  vaneyoke.Attempt
 	Upstream vaneyoke.UpstreamID
 	IDs      []vaneyoke.TokenID // the answer so far
 }
 
-// Probe asks whether an attempt's upstream is there.
+// Probe checks whether an attempt's upstream is alive.
 type Probe struct {
 	Attempt  vaneyoke.Attempt
 	Upstream vaneyoke.UpstreamID
 }
 
-// Ask asks an upstream what it does for an attempt's run.
-type Ask struct {
-	Attempt  vaneyoke.Attempt
-	Upstream vaneyoke.UpstreamID
-	Silent   time.Duration // since the last piece, or since the attempt was placed
-	Begun    bool          // whether a piece has come
+// QueryRun asks an upstream for the state of an attempt's run.
+type QueryRun struct {
+	Attempt   vaneyoke.Attempt
+	Upstream  vaneyoke.UpstreamID
+	SilentFor time.Duration // since the last batch, or since the attempt was placed
+	HasOutput bool          // whether a batch has arrived
 }
 
 // Start sends an attempt to its upstream.
@@ -45,8 +46,8 @@
 	Upstream    vaneyoke.UpstreamID
 	Prefix      []vaneyoke.TokenID  // prompt and answer so far; nil for a run from the caller's own prompt
 	From        vaneyoke.Tokens     // index within the answer of the attempt's first token
-	Replica     vaneyoke.UpstreamID // upstream that is to keep a replica of the run's memory; "" for none
-	FromReplica bool                // whether the upstream holds a replica of the lost run
+	Replica     vaneyoke.UpstreamID // upstream that is to keep a replica of the run's KV cache; "" for none
+	FromReplica bool                // whether the upstream holds a replica of the lost run's KV cache
 }
 
 // Resume attaches an attempt to the stream that an earlier attempt started.
@@ -54,41 +55,41 @@
 	Attempt  vaneyoke.Attempt
 	Upstream vaneyoke.UpstreamID
 	Stream   vaneyoke.Attempt // the attempt that started the stream
-	From     vaneyoke.Tokens  // index within the answer of the first token to be sent
+	From     vaneyoke.Tokens  // index within the answer of the first token to send
 }
 
-// Cancel ends an attempt; nothing that it still sends counts.
+// Cancel ends an attempt; whatever it still sends is dropped.
 type Cancel struct {
 	Attempt  vaneyoke.Attempt
 	Upstream vaneyoke.UpstreamID
 	Stream   vaneyoke.Attempt // the attempt that started the stream
-	Stop     bool             // whether the engine should be told to stop the run
-	Cause    Cause            // why the attempt was lost; 0 where it was not
+	Stop     bool             // whether the engine is told to stop the run
+	Cause    Cause            // why the attempt was lost; 0 if it was not
 }
 
-// Given says that the transcript holds more for the caller.
-type Given struct{}
+// Deliver says that the transcript has new tokens for the caller.
+type Deliver struct{}
 
-// Finish ends the answer well.
+// Finish ends the answer successfully.
 type Finish struct {
 	Reason vaneyoke.FinishReason
 	Usage  vaneyoke.Usage
 }
 
-// Fail ends the answer with a result code; what was let through stands.
+// Fail ends the answer with a result code; tokens that were delivered remain valid.
 type Fail struct {
 	Code       vaneyoke.Code
 	RetryAfter time.Duration
 	Detail     string
 }
 
-func (Place) effect()   {}
-func (Inspect) effect() {}
-func (Probe) effect()   {}
-func (Ask) effect()     {}
-func (Start) effect()   {}
-func (Resume) effect()  {}
-func (Cancel) effect()  {}
-func (Given) effect()   {}
-func (Finish) effect()  {}
-func (Fail) effect()    {}
+func (Place) effect()       {}
+func (InspectTail) effect() {}
+func (Probe) effect()       {}
+func (QueryRun) effect()    {}
+func (Start) effect()       {}
+func (Resume) effect()      {}
+func (Cancel) effect()      {}
+func (Deliver) effect()     {}
+func (Finish) effect()      {}
+func (Fail) effect()        {}
--- a/decide/generation/event.go
+++ b/decide/generation/event.go
@@ -6,39 +6,39 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Event is something that happened to a generation.
+// Event is an input of the state machine.
 type Event interface{ event() }
 
-// Admitted says that the request may start; it is the first event.
+// Admitted says that the request passed admission control; it is the first event.
 type Admitted struct{}
 
 // Placed names the upstream that was chosen for an attempt.
 type Placed struct {
 	Attempt      vaneyoke.Attempt
 	Upstream     vaneyoke.UpstreamID
-	Expect       time.Duration       // expected time to the first token; 0 where unknown
-	HoldsReplica bool                // whether the upstream has the replica that Place asked for
-	Replica      vaneyoke.UpstreamID // upstream that is to keep a replica of the run's memory; "" for none
+	ExpectedTTFT time.Duration       // expected time to first token; 0 for unknown
+	HoldsReplica bool                // whether the upstream holds the replica that Place preferred
+	Replica      vaneyoke.UpstreamID // upstream that is to keep a replica of the run's KV cache; "" for none
 }
 
-// Inspected answers Inspect.
-type Inspected struct {
-	Attempt vaneyoke.Attempt
-	Held    vaneyoke.Tokens // tokens at the end whose text was held back
+// TailInspected answers InspectTail.
+type TailInspected struct {
+	Attempt  vaneyoke.Attempt
+	Buffered vaneyoke.Tokens // tokens at the end whose text the lost engine buffered
 }
 
-// NotPlaced says that no upstream can take an attempt now.
+// NotPlaced says that no upstream can take the attempt now.
 type NotPlaced struct {
 	Attempt    vaneyoke.Attempt
 	Code       vaneyoke.Code
-	RetryAfter time.Duration // 0 where the placement gives no time
+	RetryAfter time.Duration // 0 if the placement gives no time
 }
 
-// Asked says what an upstream tells of an attempt's run, in answer to Ask.
-type Asked struct {
-	Attempt vaneyoke.Attempt
-	Work    vaneyoke.Work
-	Made    vaneyoke.Tokens // pieces of the answer that the upstream has made; 0 where it does not say
+// RunReported answers QueryRun.
+type RunReported struct {
+	Attempt  vaneyoke.Attempt
+	State    vaneyoke.Work
+	Produced vaneyoke.Tokens // chunks of the answer that the upstream has produced; 0 if it does not say
 }
 
 // Probed answers Probe.
@@ -47,8 +47,8 @@
 	Alive   bool
 }
 
-// PromptRead gives the prompt's token ids as an attempt's engine read them.
-type PromptRead struct {
+// PromptTokenized holds the prompt's token ids as tokenized by an attempt's engine.
+type PromptTokenized struct {
 	Attempt vaneyoke.Attempt
 	IDs     []vaneyoke.TokenID
 }
@@ -59,79 +59,79 @@
 	Batch   vaneyoke.Batch
 }
 
-// Ended says that an attempt's stream came to its own end.
+// Ended says that an attempt's stream ended normally.
 type Ended struct {
 	Attempt vaneyoke.Attempt
 	Reason  vaneyoke.FinishReason
 }
 
-// Lost says that an attempt's stream broke off.
+// Lost says that an attempt failed or its stream broke off.
 type Lost struct {
 	Attempt vaneyoke.Attempt
 	Cause   Cause
 }
 
-// Rejected says that an engine refused the request as wrong, which no other engine would mend.
+// Rejected says that an engine refused the request as invalid, as any other engine would.
 type Rejected struct {
 	Attempt vaneyoke.Attempt
 	Detail  string
 }
 
-// CallerGone says that nobody waits for the answer any more.
+// CallerGone says that the caller disconnected.
 type CallerGone struct{}
 
-// Interrupted says that the node ends, and that the caller must have its last word now.
-type Interrupted struct {
-	RunsOn bool // whether the runs are left for another node to go on with
+// NodeStopping says that the node is stopping and that the answer has to end now.
+type NodeStopping struct {
+	KeepRuns bool // whether the runs are left running for another node to continue the answer
 }
 
-// Quarantined says that what the request asks ends the upstreams that run it, so that it is sent to none any more.
+// Quarantined says that the request's content crashes the upstreams that run it, so that it is not sent to any more of them.
 type Quarantined struct{ RetryAfter time.Duration }
 
-// Suspended says that the VM stood still for a while that no clock of the node has counted, and the caller's has.
+// Suspended says that the VM was suspended for a time that the clocks of the node did not count but the caller's did.
 type Suspended struct{ For time.Duration }
 
-// Superseded says that another node goes on with the answer.
+// Superseded says that another node has taken over the answer.
 type Superseded struct{}
 
-// Tick says that the time returned by Deadline has come.
+// Tick says that the time returned by NextTick has come.
 type Tick struct{}
 
-func (Admitted) event()    {}
-func (Placed) event()      {}
-func (Inspected) event()   {}
-func (Asked) event()       {}
-func (Probed) event()      {}
-func (NotPlaced) event()   {}
-func (PromptRead) event()  {}
-func (*Received) event()   {}
-func (Ended) event()       {}
-func (Lost) event()        {}
-func (Rejected) event()    {}
-func (CallerGone) event()  {}
-func (Interrupted) event() {}
-func (Quarantined) event() {}
-func (Suspended) event()   {}
-func (Superseded) event()  {}
-func (Tick) event()        {}
-
-// Cause says how an attempt was lost.
+func (Admitted) event()        {}
+func (Placed) event()          {}
+func (TailInspected) event()   {}
+func (RunReported) event()     {}
+func (Probed) event()          {}
+func (NotPlaced) event()       {}
+func (PromptTokenized) event() {}
+func (*Received) event()       {}
+func (Ended) event()           {}
+func (Lost) event()            {}
+func (Rejected) event()        {}
+func (CallerGone) event()      {}
+func (NodeStopping) event()    {}
+func (Quarantined) event()     {}
+func (Suspended) event()       {}
+func (Superseded) event()      {}
+func (Tick) event()            {}
+
+// Cause is the reason why an attempt was lost.
 type Cause int
 
 // The causes of a loss.
 const (
-	CauseNotSent     Cause = iota + 1 // the engine never got the request, or said that it did not run it
-	CauseClosed                       // the stream closed before its end
-	CauseMalformed                    // the stream broke its protocol
-	CauseNoStream                     // the engine knows no such stream to resume
+	CauseNotSent     Cause = iota + 1 // the engine did not get the request, or reported that it did not run it
+	CauseClosed                       // the connection closed before the end of the stream
+	CauseMalformed                    // the stream violated the protocol
+	CauseNoStream                     // the engine does not know the stream to resume
 	CauseSilent                       // the stream fell silent
-	CauseDeclined                     // the upstream got the request, and said that it did not run it
-	CauseFailed                       // the upstream answered that it failed
-	CauseGone                         // another upstream has the address of the one that was meant
+	CauseDeclined                     // the upstream got the request and reported that it did not run it
+	CauseFailed                       // the upstream answered with a failure
+	CauseGone                         // the address now belongs to another upstream
 	CauseUnreachable                  // the upstream did not answer a probe
 )
 
-// String returns the cause as it stands in logs.
+// String returns the cause as it is logged.
 func (c Cause) String() string {
 	switch c {
 	case CauseNotSent:
@@ -157,7 +157,7 @@
 	}
 }
 
-// mayHaveRun reports whether an engine may have run an attempt that was lost for the cause.
+// mayHaveRun reports whether an engine may have run an attempt that was lost for this cause.
 func (c Cause) mayHaveRun() bool {
 	return c != CauseNotSent && c != CauseDeclined && c != CauseGone
 }
--- a/decide/generation/opaque_property_test.go
+++ b/decide/generation/opaque_property_test.go
@@ -12,199 +12,198 @@
 	"github.com/vaneyoke/vaneyoke/decide/generation"
 )
 
-// forwarding is an opaque answer whose upstreams, losses and late events are drawn at random, and what a model of the
-// upstreams knows of it.
-type forwarding struct {
+// opaqueModel drives an opaque answer with random placements, losses and late events, and records what the modelled upstreams did.
+type opaqueModel struct {
 	t      *rapid.T
 	now    time.Time
 	config generation.Config
 	state  *generation.State
 
-	placing []vaneyoke.Attempt                   // asked for
-	from    map[vaneyoke.Attempt]vaneyoke.Tokens // piece that the next event of a started attempt holds
-	ran     map[vaneyoke.Attempt]bool            // started attempts that may have run
-	given   map[vaneyoke.Attempt]vaneyoke.Tokens // events that it has sent
-	fenced  map[vaneyoke.Attempt]bool            // attempts that were lost or cancelled
-	ended   bool
-	failed  *generation.Fail
+	places     []vaneyoke.Attempt                   // placements that were requested
+	from       map[vaneyoke.Attempt]vaneyoke.Tokens // number of the first chunk of a started attempt
+	mayHaveRun map[vaneyoke.Attempt]bool            // started attempts that may have run
+	sent       map[vaneyoke.Attempt]vaneyoke.Tokens // chunks that it has sent
+	fenced     map[vaneyoke.Attempt]bool            // attempts that were lost or cancelled
+	ended      bool
+	failed     *generation.Fail
 }
 
-func newForwarding(t *rapid.T) *forwarding {
-	f := &forwarding{
+func newOpaqueModel(t *rapid.T) *opaqueModel {
+	m := &opaqueModel{
 		t: t, now: time.Unix(1000, 0),
-		from: map[vaneyoke.Attempt]vaneyoke.Tokens{}, given: map[vaneyoke.Attempt]vaneyoke.Tokens{},
-		ran: map[vaneyoke.Attempt]bool{}, fenced: map[vaneyoke.Attempt]bool{},
+		from: map[vaneyoke.Attempt]vaneyoke.Tokens{}, sent: map[vaneyoke.Attempt]vaneyoke.Tokens{},
+		mayHaveRun: map[vaneyoke.Attempt]bool{}, fenced: map[vaneyoke.Attempt]bool{},
 	}
-	f.config = generation.DefaultConfig()
-	f.config.Opaque = true
-	f.config.Repeatable = rapid.Bool().Draw(t, "repeatable")
-	f.config.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts")
-	f.config.Deadline = f.now.Add(10 * time.Second)
-	f.config.MaxWait = 10 * time.Second
-	f.config.MaxUnsent = 500 * time.Millisecond
-	f.config.MaxLosses = 64
-	f.config.ProbeEvery = 200 * time.Millisecond
-	f.config.Pause = 700 * time.Millisecond
-	f.config.AskSilent = rapid.IntRange(0, 2).Draw(t, "asks")
-	f.state = generation.New(f.config, rand.New(rand.NewPCG(1, 2)))
-	return f
+	m.config = generation.DefaultConfig()
+	m.config.Opaque = true
+	m.config.Repeatable = rapid.Bool().Draw(t, "repeatable")
+	m.config.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "attempts")
+	m.config.Deadline = m.now.Add(10 * time.Second)
+	m.config.MaxWait = 10 * time.Second
+	m.config.MaxPlacementWait = 500 * time.Millisecond
+	m.config.MaxLosses = 64
+	m.config.ProbeEvery = 200 * time.Millisecond
+	m.config.EventIntervalGoal = 700 * time.Millisecond
+	m.config.MaxRunQueries = rapid.IntRange(0, 2).Draw(t, "asks")
+	m.state = generation.New(m.config, rand.New(rand.NewPCG(1, 2)))
+	return m
 }
 
-func (f *forwarding) handle(ev generation.Event) {
-	for _, effect := range f.state.Handle(f.now, ev) {
-		f.apply(effect)
+func (m *opaqueModel) handle(ev generation.Event) {
+	for _, effect := range m.state.Handle(m.now, ev) {
+		m.apply(effect)
 	}
-	f.check()
+	m.checkInvariants()
 }
 
-func (f *forwarding) apply(effect generation.Effect) {
+func (m *opaqueModel) apply(effect generation.Effect) {
 	switch e := effect.(type) {
 	case generation.Place:
-		f.placing = append(f.placing, e.Attempt)
+		m.places = append(m.places, e.Attempt)
 	case generation.Start:
-		must.EqOp(f.t, f.state.Transcript().Len(), e.From)
-		must.Len(f.t, 0, e.Prefix)
-		f.from[e.Attempt] = e.From
-		f.ran[e.Attempt] = true
+		must.EqOp(m.t, m.state.Transcript().Len(), e.From)
+		must.Len(m.t, 0, e.Prefix)
+		m.from[e.Attempt] = e.From
+		m.mayHaveRun[e.Attempt] = true
 	case generation.Cancel:
-		f.fenced[e.Attempt] = true
+		m.fenced[e.Attempt] = true
 	case generation.Resume:
-		f.t.Fatalf("attached to a stream that no upstream gives again: %+v", e)
+		m.t.Fatalf("resumed an opaque stream: %+v", e)
 	case generation.Finish:
-		f.ended = true
+		m.ended = true
 	case generation.Fail:
-		f.ended = true
-		f.failed = &e
+		m.ended = true
+		m.failed = &e
 	}
 }
 
-// check holds what has come about against what is promised.
-func (f *forwarding) check() {
-	may := 0
-	for _, ran := range f.ran {
-		if ran {
-			may++
+// checkInvariants checks the number of runs, the failure code and the order of the chunks.
+func (m *opaqueModel) checkInvariants() {
+	possibleRuns := 0
+	for _, started := range m.mayHaveRun {
+		if started {
+			possibleRuns++
 		}
 	}
-	if !f.config.Repeatable {
-		must.LessEq(f.t, 1, may, must.Sprint("runs of a request that may run once"))
+	if !m.config.Repeatable {
+		must.LessEq(m.t, 1, possibleRuns, must.Sprint("runs of a non-repeatable request"))
 	}
-	must.LessEq(f.t, f.config.MaxAttempts, may, must.Sprint("runs beyond the route's bound"))
-	if f.failed != nil && f.failed.Code.Info().NotRun {
-		must.EqOp(f.t, 0, may, must.Sprint("told as not run with ", f.failed.Code))
+	must.LessEq(m.t, m.config.MaxAttempts, possibleRuns, must.Sprint("runs exceed MaxAttempts"))
+	if m.failed != nil && m.failed.Code.Info().NotRun {
+		must.EqOp(m.t, 0, possibleRuns, must.Sprint("possible runs with code ", m.failed.Code))
 	}
-	text := f.state.Transcript().Text
-	for at := 0; at < len(text); at += pieceBytes {
-		must.EqOp(f.t, position(at/pieceBytes), text[at+1], must.Sprint("pieces of the answer"))
-		must.True(f.t, at == 0 || text[at] >= text[at-pieceBytes], must.Sprint("an earlier attempt after a later one"))
+	text := m.state.Transcript().Text
+	for at := 0; at < len(text); at += chunkBytes {
+		must.EqOp(m.t, position(at/chunkBytes), text[at+1], must.Sprint("position of a chunk of the answer"))
+		must.True(m.t, at == 0 || text[at] >= text[at-chunkBytes], must.Sprint("a chunk of an earlier attempt after one of a later attempt"))
 	}
 }
 
-// A piece names its attempt and its position in the answer.
-const pieceBytes = 2
+// A chunk consists of its attempt and its position in the answer.
+const chunkBytes = 2
 
-func piece(attempt vaneyoke.Attempt, at vaneyoke.Tokens) []byte {
+func chunk(attempt vaneyoke.Attempt, at vaneyoke.Tokens) []byte {
 	return []byte{byte(attempt), position(int(at))}
 }
 
 func position(at int) byte { return byte(at % 251) }
 
-// attempt draws one of the attempts that were ever started, live or given up; ok is false where there is none.
-func (f *forwarding) attempt() (vaneyoke.Attempt, bool) {
+// drawAttempt draws one of all started attempts, live or fenced; ok is false if there is none.
+func (m *opaqueModel) drawAttempt() (vaneyoke.Attempt, bool) {
 	var all []vaneyoke.Attempt
 	for a := vaneyoke.Attempt(1); int(a) <= 200; a++ {
-		if _, ok := f.from[a]; ok {
+		if _, ok := m.from[a]; ok {
 			all = append(all, a)
 		}
 	}
 	if len(all) == 0 {
 		return 0, false
 	}
-	return rapid.SampledFrom(all).Draw(f.t, "attempt"), true
+	return rapid.SampledFrom(all).Draw(m.t, "attempt"), true
 }
 
-// event has an upstream send its next event, or by a slip the one before or after it.
-func (f *forwarding) event(attempt vaneyoke.Attempt, slip vaneyoke.Tokens) {
-	at := max(f.from[attempt]+f.given[attempt]+slip, 0)
-	f.given[attempt]++
-	before, fenced := f.state.Transcript().Len(), f.fenced[attempt] || f.ended
-	f.handle(&generation.Received{Attempt: attempt, Batch: vaneyoke.Batch{
-		First: at, IDs: []vaneyoke.TokenID{0}, Text: piece(attempt, at),
+// sendChunk has an upstream send the next chunk of an attempt, or one at an offset from it.
+func (m *opaqueModel) sendChunk(attempt vaneyoke.Attempt, offset vaneyoke.Tokens) {
+	at := max(m.from[attempt]+m.sent[attempt]+offset, 0)
+	m.sent[attempt]++
+	before, fenced := m.state.Transcript().Len(), m.fenced[attempt] || m.ended
+	m.handle(&generation.Received{Attempt: attempt, Batch: vaneyoke.Batch{
+		First: at, IDs: []vaneyoke.TokenID{0}, Text: chunk(attempt, at),
 	}})
 	if fenced {
-		must.EqOp(f.t, before, f.state.Transcript().Len(), must.Sprint("an event of an attempt that was given up"))
+		must.EqOp(m.t, before, m.state.Transcript().Len(), must.Sprint("a chunk of a fenced attempt was accepted"))
 	}
 }
 
-// TestOpaqueAnswerKeepsItsPromises draws events in any order, late ones of attempts that were given up among them.
-func TestOpaqueAnswerKeepsItsPromises(t *testing.T) {
+// TestOpaqueAnswerInvariants draws events in random order, including late ones of fenced attempts.
+func TestOpaqueAnswerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newForwarding(t)
-		f.handle(generation.Admitted{})
+		m := newOpaqueModel(t)
+		m.handle(generation.Admitted{})
 		steps := map[string]func(*rapid.T){
 			"place": func(t *rapid.T) {
-				if len(f.placing) == 0 {
+				if len(m.places) == 0 {
 					return
 				}
-				attempt := f.placing[0]
-				f.placing = f.placing[1:]
+				attempt := m.places[0]
+				m.places = m.places[1:]
 				if rapid.IntRange(0, 4).Draw(t, "none") == 0 {
-					f.handle(generation.NotPlaced{Attempt: attempt, Code: vaneyoke.CodeNoUpstream})
+					m.handle(generation.NotPlaced{Attempt: attempt, Code: vaneyoke.CodeNoUpstream})
 					return
 				}
 				upstream := vaneyoke.UpstreamID(rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(t, "upstream"))
-				f.handle(generation.Placed{Attempt: attempt, Upstream: upstream, Replica: "e9", HoldsReplica: rapid.Bool().Draw(t, "holds")})
+				m.handle(generation.Placed{Attempt: attempt, Upstream: upstream, Replica: "e9", HoldsReplica: rapid.Bool().Draw(t, "holds")})
 			},
 			"event": func(t *rapid.T) {
-				if attempt, ok := f.attempt(); ok && f.ran[attempt] {
-					f.event(attempt, vaneyoke.Tokens(rapid.SampledFrom([]int{0, 0, 0, 0, -1, 1}).Draw(t, "slip")))
+				if attempt, ok := m.drawAttempt(); ok && m.mayHaveRun[attempt] {
+					m.sendChunk(attempt, vaneyoke.Tokens(rapid.SampledFrom([]int{0, 0, 0, 0, -1, 1}).Draw(t, "slip")))
 				}
 			},
 			"end": func(*rapid.T) {
-				if attempt, ok := f.attempt(); ok && f.given[attempt] > 0 {
-					f.handle(generation.Ended{Attempt: attempt, Reason: vaneyoke.FinishStop})
+				if attempt, ok := m.drawAttempt(); ok && m.sent[attempt] > 0 {
+					m.handle(generation.Ended{Attempt: attempt, Reason: vaneyoke.FinishStop})
 				}
 			},
 			"lost": func(t *rapid.T) {
 				causes := []generation.Cause{generation.CauseClosed, generation.CauseMalformed, generation.CauseFailed}
-				if attempt, ok := f.attempt(); ok && f.ran[attempt] {
-					f.handle(generation.Lost{Attempt: attempt, Cause: rapid.SampledFrom(causes).Draw(t, "cause")})
+				if attempt, ok := m.drawAttempt(); ok && m.mayHaveRun[attempt] {
+					m.handle(generation.Lost{Attempt: attempt, Cause: rapid.SampledFrom(causes).Draw(t, "cause")})
 				}
 			},
 			"not run": func(t *rapid.T) {
-				attempt, ok := f.attempt()
-				if !ok || f.given[attempt] > 0 || !f.ran[attempt] {
+				attempt, ok := m.drawAttempt()
+				if !ok || m.sent[attempt] > 0 || !m.mayHaveRun[attempt] {
 					return
 				}
 				causes := []generation.Cause{generation.CauseNotSent, generation.CauseDeclined, generation.CauseGone}
-				f.ran[attempt] = false
-				f.handle(generation.Lost{Attempt: attempt, Cause: rapid.SampledFrom(causes).Draw(t, "cause")})
+				m.mayHaveRun[attempt] = false
+				m.handle(generation.Lost{Attempt: attempt, Cause: rapid.SampledFrom(causes).Draw(t, "cause")})
 			},
 			"probe": func(t *rapid.T) {
-				if attempt, ok := f.attempt(); ok {
-					f.handle(generation.Probed{Attempt: attempt, Alive: rapid.Bool().Draw(t, "alive")})
+				if attempt, ok := m.drawAttempt(); ok {
+					m.handle(generation.Probed{Attempt: attempt, Alive: rapid.Bool().Draw(t, "alive")})
 				}
 			},
 			"asked": func(t *rapid.T) {
-				if attempt, ok := f.attempt(); ok {
-					f.handle(generation.Asked{
-						Attempt: attempt, Work: vaneyoke.Work(rapid.IntRange(0, 3).Draw(t, "work")), Made: vaneyoke.Tokens(rapid.IntRange(0, 9).Draw(t, "made")),
+				if attempt, ok := m.drawAttempt(); ok {
+					m.handle(generation.RunReported{
+						Attempt: attempt, State: vaneyoke.Work(rapid.IntRange(0, 3).Draw(t, "work")), Produced: vaneyoke.Tokens(rapid.IntRange(0, 9).Draw(t, "made")),
 					})
 				}
 			},
 			"time": func(t *rapid.T) {
-				f.now = f.now.Add(time.Duration(rapid.SampledFrom([]int{1, 50, 300, 3000, 11_000}).Draw(t, "ms")) * time.Millisecond)
-				f.handle(generation.Tick{})
+				m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{1, 50, 300, 3000, 11_000}).Draw(t, "ms")) * time.Millisecond)
+				m.handle(generation.Tick{})
 			},
 			"node ends": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "ends") == 0 {
-					f.handle(generation.Interrupted{})
-					must.True(t, f.ended)
+					m.handle(generation.NodeStopping{})
+					must.True(t, m.ended)
 				}
 			},
 			"caller leaves": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
-					f.handle(generation.CallerGone{})
+					m.handle(generation.CallerGone{})
 				}
 			},
 		}
--- a/decide/generation/property_test.go
+++ b/decide/generation/property_test.go
@@ -10,47 +10,47 @@
 	"github.com/vaneyoke/vaneyoke/internal/mutant"
 )
 
-func TestPromisesHoldInAnyOrderOfEvents(t *testing.T) {
+func TestInvariantsHoldInAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := newWorld(t, mutation{}).run(); err != nil {
+		if err := newModel(t, mutation{}).run(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestBrokenRulesAreCaught takes out one rule at a time; the checks above must notice.
-func TestBrokenRulesAreCaught(t *testing.T) {
-	const stories = 4000
+// TestMutantsAreDetected breaks one rule of the state machine at a time; the invariant checks must detect each.
+func TestMutantsAreDetected(t *testing.T) {
+	const maxRuns = 4000
 	mutants := map[string]mutation{
-		"attempt is not checked":    {event: anyAttempt},
-		"index is not checked":      {event: anyIndex},
-		"prefix lacks a token":      {effect: shortPrefix},
-		"goes on from the prompt":   {effect: fromPrompt},
-		"resumes one token early":   {effect: resumeEarly},
-		"resumes one token late":    {effect: resumeLate},
-		"losses are told as unsent": {event: unsentLoss},
-		"held back text is let out": {event: letOut},
+		"attempt is not checked":      {event: relabelAttempt},
+		"index is not checked":        {event: relabelIndex},
+		"prefix lacks a token":        {effect: truncatePrefix},
+		"prefix is left out":          {effect: dropPrefix},
+		"resumes one token early":     {effect: resumeEarly},
+		"resumes one token late":      {effect: resumeLate},
+		"losses reported as not sent": {event: reportNotSent},
+		"buffered text is accepted":   {event: forceText},
 	}
-	for name, rule := range mutants {
+	for name, change := range mutants {
 		t.Run(name, func(t *testing.T) {
-			must.True(t, mutant.Caught(stories, func(t *rapid.T) bool { return newWorld(t, rule).run() != nil }))
+			must.True(t, mutant.Caught(maxRuns, func(t *rapid.T) bool { return newModel(t, change).run() != nil }))
 		})
 	}
 }
 
-// liveAttempt returns the newest attempt that has a link.
-func (w *world) liveAttempt() *link {
-	for i := len(w.links) - 1; i >= 0; i-- {
-		if !w.links[i].closed {
-			return w.links[i]
+// liveConnection returns the newest open connection.
+func (m *model) liveConnection() *connection {
+	for i := len(m.conns) - 1; i >= 0; i-- {
+		if !m.conns[i].closed {
+			return m.conns[i]
 		}
 	}
 	return nil
 }
 
-func anyAttempt(w *world, ev generation.Event) generation.Event {
+func relabelAttempt(m *model, ev generation.Event) generation.Event {
 	received, ok := ev.(*generation.Received)
-	live := w.liveAttempt()
+	live := m.liveConnection()
 	if !ok || live == nil {
 		return ev
 	}
@@ -59,17 +59,17 @@
 	return &changed
 }
 
-func anyIndex(w *world, ev generation.Event) generation.Event {
+func relabelIndex(m *model, ev generation.Event) generation.Event {
 	received, ok := ev.(*generation.Received)
 	if !ok {
 		return ev
 	}
 	changed := *received
-	changed.Batch.First = w.state.Transcript().Len()
+	changed.Batch.First = m.state.Transcript().Len()
 	return &changed
 }
 
-func shortPrefix(_ *world, ef generation.Effect) generation.Effect {
+func truncatePrefix(_ *model, ef generation.Effect) generation.Effect {
 	start, ok := ef.(generation.Start)
 	if ok && len(start.Prefix) > 0 {
 		start.Prefix = start.Prefix[:len(start.Prefix)-1]
@@ -80,7 +80,7 @@
 	return ef
 }
 
-func fromPrompt(_ *world, ef generation.Effect) generation.Effect {
+func dropPrefix(_ *model, ef generation.Effect) generation.Effect {
 	if start, ok := ef.(generation.Start); ok {
 		start.Prefix = nil
 		return start
@@ -88,28 +88,28 @@
 	return ef
 }
 
-func resumeEarly(w *world, ef generation.Effect) generation.Effect { return resumeAt(w, ef, -1) }
+func resumeEarly(m *model, ef generation.Effect) generation.Effect { return resumeAt(m, ef, -1) }
 
-func resumeLate(w *world, ef generation.Effect) generation.Effect { return resumeAt(w, ef, 1) }
+func resumeLate(m *model, ef generation.Effect) generation.Effect { return resumeAt(m, ef, 1) }
 
-// resumeAt makes the engine go on at another index than was asked for, without saying so.
-func resumeAt(w *world, ef generation.Effect, by int) generation.Effect {
+// resumeAt makes the engine resume at a wrong index without indicating it.
+func resumeAt(m *model, ef generation.Effect, offset int) generation.Effect {
 	resume, ok := ef.(generation.Resume)
 	if !ok {
 		return ef
 	}
-	old := w.streams[resume.Stream]
-	from := int(resume.From-old.base) + by
+	old := m.streams[resume.Stream]
+	from := int(resume.From-old.base) + offset
 	if from < 0 || from > len(old.tokens) {
 		return ef
 	}
 	moved := *old
-	moved.tokens = append(append(moved.tokens[:0:0], old.tokens[:from-by]...), old.tokens[from:]...)
-	w.streams[resume.Stream] = &moved
+	moved.tokens = append(append(moved.tokens[:0:0], old.tokens[:from-offset]...), old.tokens[from:]...)
+	m.streams[resume.Stream] = &moved
 	return ef
 }
 
-func unsentLoss(_ *world, ev generation.Event) generation.Event {
+func reportNotSent(_ *model, ev generation.Event) generation.Event {
 	if lost, ok := ev.(generation.Lost); ok {
 		lost.Cause = generation.CauseNotSent
 		return lost
@@ -117,8 +117,8 @@
 	return ev
 }
 
-// letOut gives a batch a text that is not empty, so that an unfinished character does not hold it back.
-func letOut(_ *world, ev generation.Event) generation.Event {
+// forceText adds text to a batch without any, so that the batch is not kept pending for an incomplete character.
+func forceText(_ *model, ev generation.Event) generation.Event {
 	received, ok := ev.(*generation.Received)
 	if !ok || len(received.Batch.Text) > 0 {
 		return ev
--- a/decide/generation/recover.go
+++ b/decide/generation/recover.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	jitterShare = 0.5 // share of a pause that is random
-	// Times the expected time to the first token that a run may be silent, usually and at the least.
-	expectFactor  = 8
-	patientFactor = 3
-	freeLosses    = 3 // losses in a row after which the wait for an upstream counts, where none of them was a refusal to choose one
-	firstFloors   = 3 // times the shortest silence between tokens that a run may be silent before its first
+	jitterShare = 0.5 // random share of a backoff delay
+	// The silence limit before the first token is ttftFactor times the expected TTFT, but at most ttftCapFactor times the expected TTFT or
+	// Silence.FirstToken, whichever is longer.
+	ttftFactor    = 8
+	ttftCapFactor = 3
+	graceLosses   = 3 // consecutive losses from which MaxPlacementWait applies even if placement itself did not refuse
+	floorFactor   = 3 // lower bound of the silence limit before the first token, as a multiple of Silence.Floor
 )
 
 // place asks for an upstream for a new attempt.
-func (s *State) place(now time.Time, after time.Duration, retry bool) {
-	s.attempt++
-	s.runs = append(s.runs, run{attempt: s.attempt, stream: s.attempt, stage: stagePlacing, placedAt: now})
-	s.do(Place{Attempt: s.attempt, Avoid: slices.Clone(s.avoid), Prefer: s.replica, After: after, Retry: retry})
+func (s *State) place(now time.Time, delay time.Duration, retry bool) {
+	s.lastAttempt++
+	s.runs = append(s.runs, run{attempt: s.lastAttempt, stream: s.lastAttempt, stage: stagePlacing, placedAt: now})
+	s.emit(Place{Attempt: s.lastAttempt, Avoid: slices.Clone(s.avoid), Prefer: s.replicaHolder, Delay: delay, Retry: retry})
 }
 
 func (s *State) placed(now time.Time, ev Placed) {
-	r := s.find(ev.Attempt)
+	r := s.findRun(ev.Attempt)
 	if r == nil || r.stage != stagePlacing {
 		return
 	}
@@ -33,102 +34,103 @@
 	r.upstream = ev.Upstream
 	r.placedAt = now
 	r.aliveAt = now
-	r.expect = ev.Expect
+	r.expectedTTFT = ev.ExpectedTTFT
 	r.replica = ev.Replica
-	r.fromReplica = ev.HoldsReplica && s.replica != ""
-	if s.answer.unsure && s.answer.Len() > 0 {
-		s.do(Inspect{Attempt: r.attempt, Upstream: r.upstream, IDs: s.answer.IDs})
+	r.fromReplica = ev.HoldsReplica && s.replicaHolder != ""
+	if s.answer.tailUncertain && s.answer.Len() > 0 {
+		s.emit(InspectTail{Attempt: r.attempt, Upstream: r.upstream, IDs: s.answer.IDs})
 		return
 	}
 	s.start(r)
 }
 
-// inspected takes off the tokens whose text the lost engine held back, so that the next one shows it.
-func (s *State) inspected(ev Inspected) {
-	r := s.find(ev.Attempt)
+// tailInspected removes the tokens whose text the lost engine buffered, so that the next engine generates and shows them.
+func (s *State) tailInspected(ev TailInspected) {
+	r := s.findRun(ev.Attempt)
 	if r == nil {
 		return
 	}
-	if s.answer.unsure {
-		s.stats.Discarded += s.answer.trim(ev.Held)
+	if s.answer.tailUncertain {
+		s.stats.DiscardedTokens += s.answer.trim(ev.Buffered)
 	}
 	s.start(r)
 }
 
 func (s *State) start(r *run) {
 	r.sent = true
-	s.sent++
-	s.arrived++
-	s.tries++
+	s.possibleRuns++
+	s.possibleArrivals++
+	s.countedAttempts++
 	s.stats.Attempts++
 	start := Start{
 		Attempt: r.attempt, Upstream: r.upstream, From: s.answer.Len(), Replica: r.replica, FromReplica: r.fromReplica,
 	}
 	if s.answer.Len() > 0 && !s.cfg.Opaque {
 		start.Prefix = s.answer.Prefix()
-		s.stats.Reprefills += vaneyoke.Tokens(len(start.Prefix))
+		s.stats.ReprefilledTokens += vaneyoke.Tokens(len(start.Prefix))
 	}
-	s.do(start)
+	s.emit(start)
 }
 
-// notPlaced tries again later, or gives up where the caller's wait is over.
+// notPlaced schedules another placement, or fails if retrying is pointless or the limits are exhausted.
 func (s *State) notPlaced(now time.Time, ev NotPlaced) {
-	if s.find(ev.Attempt) == nil {
+	if s.findRun(ev.Attempt) == nil {
 		return
 	}
-	s.remove(ev.Attempt)
+	s.removeRun(ev.Attempt)
 	s.lastCode = ev.Code
-	s.retryHint = ev.RetryAfter
+	s.retryAfter = ev.RetryAfter
 	if len(s.runs) > 0 {
 		return
 	}
 	if ev.Code == vaneyoke.CodeQuarantined {
-		s.fail(s.giveUp())
+		s.fail(s.failure())
 		return
 	}
 	if ev.Code == vaneyoke.CodeUnknownModel && s.answer.Len() == 0 && !s.cfg.Opaque {
-		s.fail(s.giveUp())
+		s.fail(s.failure())
 		return
 	}
-	if namesTurn(ev.Code) && !s.worthTurn(now, ev.RetryAfter) {
-		s.fail(s.giveUp())
+	if hasRetryAfter(ev.Code) && !s.worthRetryWait(now, ev.RetryAfter) {
+		s.fail(s.failure())
 		return
 	}
-	s.losses++
+	s.consecutiveLosses++
 	s.placeAgain(now)
 }
 
-// suspended counts what the caller has waited meanwhile; how long a run is silent is counted from when the node could hear it.
+// suspended adds the time that the caller waited during a suspension of the VM. It leaves the silence of runs alone, since the node
+// could not have received anything meanwhile.
 func (s *State) suspended(now time.Time, d time.Duration) {
-	s.progress, s.admitted = s.progress.Add(-d), s.admitted.Add(-d)
+	s.lastProgress, s.admittedAt = s.lastProgress.Add(-d), s.admittedAt.Add(-d)
 	if !s.cfg.Deadline.IsZero() {
 		s.cfg.Deadline = s.cfg.Deadline.Add(-d)
 	}
 	s.tick(now)
 }
 
-// quarantine ends an answer that has not begun.
+// quarantine fails an answer that has no tokens yet.
 func (s *State) quarantine(retryAfter time.Duration) {
 	if s.answer.Len() > 0 {
 		return
 	}
-	s.lastCode, s.retryHint = vaneyoke.CodeQuarantined, retryAfter
-	s.fail(s.giveUp())
+	s.lastCode, s.retryAfter = vaneyoke.CodeQuarantined, retryAfter
+	s.fail(s.failure())
 }
 
-// lost mends the loss of a live attempt.
+// lost handles the loss of a live attempt.
 func (s *State) lost(now time.Time, ev Lost) {
-	if r := s.find(ev.Attempt); r != nil {
-		s.lose(now, r, ev.Cause)
+	if r := s.findRun(ev.Attempt); r != nil {
+		s.loseRun(now, r, ev.Cause)
 	}
 }
 
-// lose fences a run and chooses the way on: its own stream where that may still run, another engine otherwise.
-func (s *State) lose(now time.Time, r *run, cause Cause) {
+// loseRun fences a run and continues the answer: from the run's own stream if that may still exist, otherwise on another engine.
+func (s *State) loseRun(now time.Time, r *run, cause Cause) {
 	old := *r
 	resumable := s.canResume(&old, cause)
 	s.cancel(r, !resumable && (cause.mayHaveRun() || old.resumed), cause)
-	s.remove(old.attempt)
+	s.removeRun(old.attempt)
 	s.countLoss(&old, cause)
 	if s.complete() {
 		s.finish(vaneyoke.FinishLength)
@@ -138,7 +140,7 @@
 		s.resume(now, &old)
 		return
 	}
-	s.followReplica(&old, cause)
+	s.updateReplicaHolder(&old, cause)
 	s.avoid = append(s.avoid, old.upstream)
 	if !s.cfg.Repeatable && (cause.mayHaveRun() || old.resumed) {
 		s.fail(Fail{Code: vaneyoke.CodeMayHaveRun, Detail: cause.String()})
@@ -147,7 +149,7 @@
 	if len(s.runs) > 0 {
 		return
 	}
-	s.losses++
+	s.consecutiveLosses++
 	s.placeAgain(now)
 }
 
@@ -157,115 +159,115 @@
 		return
 	}
 	if old.sent {
-		s.sent--
+		s.possibleRuns--
 	}
 	if old.sent && cause == CauseNotSent {
-		s.arrived--
+		s.possibleArrivals--
 	}
 	if old.sent && cause != CauseDeclined {
-		s.tries--
+		s.countedAttempts--
 	}
 }
 
-// followReplica keeps in mind where the memory of the run that was lost last can be found.
-func (s *State) followReplica(old *run, cause Cause) {
+// updateReplicaHolder records which upstream holds a replica of the last lost run's KV cache.
+func (s *State) updateReplicaHolder(old *run, cause Cause) {
 	switch {
 	case cause.mayHaveRun():
-		s.replica = ""
+		s.replicaHolder = ""
 		if old.stage == stageStreaming {
-			s.replica = old.replica
+			s.replicaHolder = old.replica
 		}
 	case old.fromReplica:
-		s.replica = ""
+		s.replicaHolder = ""
 	}
 }
 
-// canResume reports whether the run's engine may still hold its stream.
+// canResume reports whether the run's engine may still have its stream.
 func (s *State) canResume(r *run, cause Cause) bool {
 	return cause == CauseClosed && r.stage == stageStreaming && !s.cfg.Opaque
 }
 
-// resume attaches a new attempt to the old one's stream; held back tokens are asked for again.
+// resume attaches a new attempt to the old one's stream. Pending tokens are requested again.
 func (s *State) resume(now time.Time, old *run) {
-	s.attempt++
+	s.lastAttempt++
 	s.stats.Attempts++
 	s.runs = append(s.runs, run{
-		attempt:  s.attempt,
+		attempt:  s.lastAttempt,
 		stream:   old.stream,
 		upstream: old.upstream,
 		stage:    stageStarted,
 		resumed:  true,
 		placedAt: now,
 	})
-	s.do(Resume{Attempt: s.attempt, Upstream: old.upstream, Stream: old.stream, From: s.answer.Len()})
+	s.emit(Resume{Attempt: s.lastAttempt, Upstream: old.upstream, Stream: old.stream, From: s.answer.Len()})
 }
 
-// placeAgain starts another attempt after a pause, or gives up.
+// placeAgain starts another attempt after a delay, or fails.
 func (s *State) placeAgain(now time.Time) {
 	if s.answer.Len() > 0 && s.answer.Prompt == nil && !s.cfg.Opaque {
-		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the engine did not tell the prompt's token ids"})
+		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the engine did not report the prompt's token ids"})
 		return
 	}
-	pause := s.pause()
-	if namesTurn(s.lastCode) {
-		pause = max(pause, s.retryHint)
+	delay := s.backoff()
+	if hasRetryAfter(s.lastCode) {
+		delay = max(delay, s.retryAfter)
 	}
-	if s.exhausted(now.Add(pause)) {
-		s.fail(s.giveUp())
+	if s.exhausted(now.Add(delay)) {
+		s.fail(s.failure())
 		return
 	}
-	s.place(now, pause, s.arrived > 0)
+	s.place(now, delay, s.possibleArrivals > 0)
 }
 
 // exhausted reports whether no further attempt may start at the given time.
 func (s *State) exhausted(at time.Time) bool {
 	switch {
-	case s.losses > s.cfg.MaxLosses || at.Sub(s.progress) > s.cfg.MaxWait:
+	case s.consecutiveLosses > s.cfg.MaxLosses || at.Sub(s.lastProgress) > s.cfg.MaxWait:
 		return true
-	case s.cfg.MaxAttempts > 0 && s.tries >= s.cfg.MaxAttempts:
+	case s.cfg.MaxAttempts > 0 && s.countedAttempts >= s.cfg.MaxAttempts:
 		return true
 	case !s.cfg.Deadline.IsZero() && !at.Before(s.cfg.Deadline):
 		return true
-	case s.lastCode == vaneyoke.CodeOK && s.losses < freeLosses:
-		return false // another upstream may take it at once
+	case s.lastCode == vaneyoke.CodeOK && s.consecutiveLosses < graceLosses:
+		return false // another upstream may accept it immediately
 	default:
-		return s.cfg.MaxUnsent > 0 && !s.Sent() && at.Sub(s.admitted) > s.cfg.MaxUnsent
+		return s.cfg.MaxPlacementWait > 0 && !s.MayHaveRun() && at.Sub(s.admittedAt) > s.cfg.MaxPlacementWait
 	}
 }
 
-// pause returns 0 after the first loss in a row and a growing, jittered time after later ones.
-func (s *State) pause() time.Duration {
-	if s.losses <= 1 {
+// backoff returns 0 after the first of consecutive losses, and an exponentially growing, jittered delay after later ones.
+func (s *State) backoff() time.Duration {
+	if s.consecutiveLosses <= 1 {
 		return 0
 	}
 	full := s.cfg.Backoff.Cap
-	if shift := s.losses - 2; shift < 16 {
+	if shift := s.consecutiveLosses - 2; shift < 16 {
 		full = min(s.cfg.Backoff.Base<<shift, s.cfg.Backoff.Cap)
 	}
 	jitter := s.rng.Float64() * jitterShare
 	return time.Duration(float64(full) * (1 - jitter))
 }
 
-// giveUp returns the failure that says truly whether anything was run.
-func (s *State) giveUp() Fail {
-	f := Fail{Code: vaneyoke.CodeUpstream, RetryAfter: s.retryHint}
+// failure returns the failure of this answer, whose code promises that nothing was run only if that is certain.
+func (s *State) failure() Fail {
+	f := Fail{Code: vaneyoke.CodeUpstream, RetryAfter: s.retryAfter}
 	switch {
 	case s.answer.Len() > 0:
 		f.Code = vaneyoke.CodeInterrupted
-	case !s.Sent() && s.lastCode != vaneyoke.CodeOK:
+	case !s.MayHaveRun() && s.lastCode != vaneyoke.CodeOK:
 		f.Code = s.lastCode
-	case !s.Sent():
+	case !s.MayHaveRun():
 		f.Code = vaneyoke.CodeNoUpstream
 	}
 	return f
 }
 
-// expired returns the failure of an answer whose caller has waited as long as it would.
-func (s *State) expired() Fail {
-	f := s.giveUp()
+// deadlineFailure returns the failure of an answer whose deadline has passed.
+func (s *State) deadlineFailure() Fail {
+	f := s.failure()
 	switch {
 	case s.answer.Len() > 0:
-	case s.Sent():
+	case s.MayHaveRun():
 		f.Code = vaneyoke.CodeTimedOut
 	default:
 		f.Code = vaneyoke.CodeWaitExceeded
@@ -273,11 +275,11 @@
 	return f
 }
 
-// Deadline returns when Tick is due, or the zero time where nothing is waited for.
-func (s *State) Deadline() time.Time {
+// NextTick returns when Tick is due, or the zero time if no timer is needed.
+func (s *State) NextTick() time.Time {
 	due := s.cfg.Deadline
 	for i := range s.runs {
-		at := s.dueAt(&s.runs[i])
+		at := s.nextCheck(&s.runs[i])
 		if due.IsZero() || at.Before(due) {
 			due = at
 		}
@@ -285,9 +287,9 @@
 	return due
 }
 
-// dueAt returns when a run's silence calls for a decision or a probe.
-func (s *State) dueAt(r *run) time.Time {
-	at := s.silentAt(r)
+// nextCheck returns when a run's silence requires a decision or a probe.
+func (s *State) nextCheck(r *run) time.Time {
+	at := s.silenceDeadline(r)
 	if s.cfg.ProbeEvery == 0 || r.stage != stageStarted || r.probing || r.gaps.count > 0 {
 		return at
 	}
@@ -297,31 +299,31 @@
 	return at
 }
 
-// probed goes on waiting for an upstream that is there, and gives up one that is not.
+// probed keeps waiting for an upstream that is alive, and gives up one that is not.
 func (s *State) probed(now time.Time, ev Probed) {
-	r := s.find(ev.Attempt)
+	r := s.findRun(ev.Attempt)
 	if r == nil {
 		return
 	}
 	r.probing = false
 	r.aliveAt = now
 	if !ev.Alive && r.stage == stageStarted {
-		s.lose(now, r, CauseUnreachable)
+		s.loseRun(now, r, CauseUnreachable)
 	}
 }
 
-// silentAt returns when a run's silence calls for a decision.
-func (s *State) silentAt(r *run) time.Time {
-	since := r.heardAt()
+// silenceDeadline returns when a run's silence requires a decision.
+func (s *State) silenceDeadline(r *run) time.Time {
+	since := r.lastActivity()
 	if r.stage == stagePlacing {
 		return since.Add(s.cfg.MaxWait)
 	}
-	if s.cfg.LastWaits && s.left() <= 0 {
+	if s.cfg.KeepLastAttempt && s.attemptsLeft() <= 0 {
 		return s.cfg.Deadline
 	}
 	limit := r.gaps.limit(s.cfg.Silence)
-	if r.gaps.count == 0 && r.expect > 0 {
-		limit = s.firstLimit(r.expect)
+	if r.gaps.count == 0 && r.expectedTTFT > 0 {
+		limit = s.firstTokenLimit(r.expectedTTFT)
 	}
 	if r.resumed && r.gaps.count == 0 {
 		limit = s.cfg.Silence.Floor
@@ -329,60 +331,60 @@
 	if r.suspect || s.cfg.Recovery == vaneyoke.RecoverFrugal || !s.cfg.Repeatable {
 		limit = time.Duration(float64(limit) * s.cfg.Silence.Patience)
 	}
-	return since.Add(limit * time.Duration(1+r.asked))
+	return since.Add(limit * time.Duration(1+r.queries))
 }
 
-// left returns how many attempts may still follow; it is meant for generations whose attempts are bounded.
-func (s *State) left() int { return s.cfg.MaxAttempts - s.tries }
+// attemptsLeft returns how many more attempts may be sent. It is meaningful only if MaxAttempts is set.
+func (s *State) attemptsLeft() int { return s.cfg.MaxAttempts - s.countedAttempts }
 
-// firstLimit returns the silence before the first token that makes an attempt suspect, where the time to it is expected.
-func (s *State) firstLimit(expect time.Duration) time.Duration {
+// firstTokenLimit returns the silence before the first token that makes an attempt suspect, given the expected time to first token.
+func (s *State) firstTokenLimit(expected time.Duration) time.Duration {
 	silence := s.cfg.Silence
-	most := max(silence.FirstToken, patientFactor*expect)
-	if s.cfg.ProbeEvery > 0 { // a dead upstream is found by the probes, and a busy one is not to be taken for it
-		return most
+	maxLimit := max(silence.FirstToken, ttftCapFactor*expected)
+	if s.cfg.ProbeEvery > 0 { // probes detect a dead upstream; a busy one must not be mistaken for it
+		return maxLimit
 	}
-	return min(max(expectFactor*expect, firstFloors*silence.Floor), most)
+	return min(max(ttftFactor*expected, floorFactor*silence.Floor), maxLimit)
 }
 
-// tick judges the silence of each run.
+// tick checks the deadline and the silence of each run.
 func (s *State) tick(now time.Time) {
 	if !s.cfg.Deadline.IsZero() && !now.Before(s.cfg.Deadline) {
-		s.fail(s.expired())
+		s.fail(s.deadlineFailure())
 		return
 	}
 	for _, r := range slices.Clone(s.runs) {
-		if s.ended || now.Before(s.dueAt(&r)) {
+		if s.ended || now.Before(s.nextCheck(&r)) {
 			continue
 		}
-		live := s.find(r.attempt)
+		live := s.findRun(r.attempt)
 		switch {
 		case live == nil:
-		case now.Before(s.silentAt(live)):
+		case now.Before(s.silenceDeadline(live)):
 			live.probing = true
-			s.do(Probe{Attempt: live.attempt, Upstream: live.upstream})
+			s.emit(Probe{Attempt: live.attempt, Upstream: live.upstream})
 		default:
-			s.silent(now, live)
+			s.handleSilence(now, live)
 		}
 	}
 }
 
-// silent races a fast generation's silent run with a second attempt, and replaces any other.
-func (s *State) silent(now time.Time, r *run) {
+// handleSilence hedges the silent run of a generation with fast recovery by a second attempt, and replaces any other silent run.
+func (s *State) handleSilence(now time.Time, r *run) {
 	if r.stage == stagePlacing {
-		s.remove(r.attempt)
-		s.losses++
+		s.removeRun(r.attempt)
+		s.consecutiveLosses++
 		s.placeAgain(now)
 		return
 	}
-	if s.asksBefore(r) {
-		s.ask(now, r)
+	if s.shouldQuery(r) {
+		s.queryRun(now, r)
 		return
 	}
 	s.stats.Suspected++
 	race := !s.cfg.Opaque && s.cfg.Recovery == vaneyoke.RecoverFast && s.cfg.Repeatable && !r.suspect
 	if !race || len(s.runs) > 1 {
-		s.lose(now, r, CauseSilent)
+		s.loseRun(now, r, CauseSilent)
 		return
 	}
 	if s.answer.Len() > 0 && s.answer.Prompt == nil {
--- a/decide/generation/recovery_test.go
+++ b/decide/generation/recovery_test.go
@@ -13,156 +13,156 @@
 	"github.com/vaneyoke/vaneyoke/decide/generation"
 )
 
-// The simulated engines: 29 ms between tokens with a long tail, and prefill by the token.
+// The simulated engines: 29 ms between tokens with a long tail, and a prefill time proportional to the prompt.
 const (
 	simTokens   = 600
 	simPrompt   = 2000
 	simGap      = 29 * time.Millisecond
 	simPrefill  = 100 * time.Microsecond
-	gapSpread   = 0.25 // of the logarithm of a gap
+	gapSigma    = 0.25 // standard deviation of the logarithm of a gap
 	stallChance = 0.002
 	stallLimit  = 250 * time.Millisecond
-	stories     = 100
-	failAt      = 300 // index of the token after which a failing run falls silent
+	simAnswers  = 100
+	failIndex   = 300 // index of the token before which a failing run falls silent
 )
 
-// cost is what one answer cost beyond an undisturbed run, and what its caller saw.
+// cost is the overhead of one answer over an undisturbed run, and the longest gap that its caller saw.
 type cost struct {
-	resume    time.Duration // longest gap between two tokens that the caller saw
-	prefilled int           // tokens of prompts and prefixes that engines read beyond the first prompt
-	decoded   int           // tokens generated beyond the answer
-	suspected int
+	longestGap   time.Duration // longest gap between two tokens that the caller saw
+	extraPrefill int           // tokens of prompts and prefixes prefilled beyond the first prompt
+	extraDecode  int           // tokens generated beyond the answer
+	suspected    int
 }
 
-// clocked is one answer on a clock of its own.
-type clocked struct {
-	rng    *rand.Rand
-	now    time.Time
-	state  *generation.State
-	runs   []*clockedRun
-	places []generation.Place
-	cost   cost
-	last   time.Time
-	given  vaneyoke.Tokens
-	pause  time.Duration // how long the first run is silent, 0 for never, less than 0 for ever
+// simulation is one answer on a simulated clock.
+type simulation struct {
+	rng          *rand.Rand
+	now          time.Time
+	state        *generation.State
+	runs         []*simulatedRun
+	places       []generation.Place
+	cost         cost
+	lastDelivery time.Time
+	delivered    vaneyoke.Tokens
+	stall        time.Duration // how long the first run falls silent; 0 for not at all, negative for ever
 }
 
-// clockedRun is a run that gives its next token at a time.
-type clockedRun struct {
+// simulatedRun is a run that sends its next token at nextAt.
+type simulatedRun struct {
 	attempt   vaneyoke.Attempt
-	next      time.Time
+	nextAt    time.Time
 	index     vaneyoke.Tokens
 	cancelled bool
 }
 
-func runClocked(seed uint64, config generation.Config, pause time.Duration) cost {
-	c := &clocked{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(0, 0), pause: pause}
-	c.state = generation.New(config, c.rng)
-	c.give(generation.Admitted{})
-	for !c.state.Ended() {
-		c.step()
+func simulate(seed uint64, config generation.Config, stall time.Duration) cost {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(0, 0), stall: stall}
+	s.state = generation.New(config, s.rng)
+	s.handle(generation.Admitted{})
+	for !s.state.Ended() {
+		s.step()
 	}
-	return c.cost
+	return s.cost
 }
 
-func (c *clocked) give(ev generation.Event) {
-	for _, ef := range slices.Clone(c.state.Handle(c.now, ev)) {
+func (s *simulation) handle(ev generation.Event) {
+	for _, ef := range slices.Clone(s.state.Handle(s.now, ev)) {
 		switch ef := ef.(type) {
 		case generation.Place:
-			c.places = append(c.places, ef)
+			s.places = append(s.places, ef)
 		case generation.Start:
-			c.start(ef)
+			s.start(ef)
 		case generation.Cancel:
-			c.cancel(ef.Attempt)
-		case generation.Given:
-			c.seen()
+			s.cancel(ef.Attempt)
+		case generation.Deliver:
+			s.recordDelivery()
 		default:
 		}
 	}
 }
 
-func (c *clocked) start(ef generation.Start) {
+func (s *simulation) start(ef generation.Start) {
 	read := max(len(ef.Prefix), simPrompt)
 	if ef.Attempt > 1 {
-		c.cost.prefilled += read
+		s.cost.extraPrefill += read
 	}
-	c.runs = append(c.runs, &clockedRun{attempt: ef.Attempt, index: ef.From, next: c.now.Add(time.Duration(read) * simPrefill)})
+	s.runs = append(s.runs, &simulatedRun{attempt: ef.Attempt, index: ef.From, nextAt: s.now.Add(time.Duration(read) * simPrefill)})
 }
 
-func (c *clocked) cancel(attempt vaneyoke.Attempt) {
-	for _, r := range c.runs {
+func (s *simulation) cancel(attempt vaneyoke.Attempt) {
+	for _, r := range s.runs {
 		r.cancelled = r.cancelled || r.attempt == attempt
 	}
 }
 
-func (c *clocked) seen() {
-	if !c.last.IsZero() {
-		c.cost.resume = max(c.cost.resume, c.now.Sub(c.last))
+func (s *simulation) recordDelivery() {
+	if !s.lastDelivery.IsZero() {
+		s.cost.longestGap = max(s.cost.longestGap, s.now.Sub(s.lastDelivery))
 	}
-	c.last = c.now
-	c.given = c.state.Transcript().Len()
+	s.lastDelivery = s.now
+	s.delivered = s.state.Transcript().Len()
 }
 
-// step goes on to whatever comes next: a placement, a token or the state machine's own deadline.
-func (c *clocked) step() {
-	if len(c.places) > 0 {
-		p := c.places[0]
-		c.places = c.places[1:]
-		c.give(generation.Placed{Attempt: p.Attempt, Upstream: "e"})
+// step advances to the next event: a placement, a token or a tick of the state machine.
+func (s *simulation) step() {
+	if len(s.places) > 0 {
+		p := s.places[0]
+		s.places = s.places[1:]
+		s.handle(generation.Placed{Attempt: p.Attempt, Upstream: "e"})
 		return
 	}
-	var first *clockedRun
-	for _, r := range c.runs {
-		if !r.cancelled && (first == nil || r.next.Before(first.next)) {
-			first = r
+	var next *simulatedRun
+	for _, r := range s.runs {
+		if !r.cancelled && (next == nil || r.nextAt.Before(next.nextAt)) {
+			next = r
 		}
 	}
-	due := c.state.Deadline()
-	if first == nil || (!due.IsZero() && due.Before(first.next)) {
-		c.now = due
-		before := c.state.Stats().Suspected
-		c.give(generation.Tick{})
-		c.cost.suspected += c.state.Stats().Suspected - before
+	due := s.state.NextTick()
+	if next == nil || (!due.IsZero() && due.Before(next.nextAt)) {
+		s.now = due
+		before := s.state.Stats().Suspected
+		s.handle(generation.Tick{})
+		s.cost.suspected += s.state.Stats().Suspected - before
 		return
 	}
-	c.now = first.next
-	c.token(first)
+	s.now = next.nextAt
+	s.sendToken(next)
 }
 
-func (c *clocked) token(r *clockedRun) {
+func (s *simulation) sendToken(r *simulatedRun) {
 	if r.index >= simTokens {
-		c.give(generation.Ended{Attempt: r.attempt, Reason: vaneyoke.FinishLength})
+		s.handle(generation.Ended{Attempt: r.attempt, Reason: vaneyoke.FinishLength})
 		return
 	}
 	if r.attempt == 1 {
-		c.give(generation.PromptRead{Attempt: 1, IDs: make([]vaneyoke.TokenID, simPrompt)})
+		s.handle(generation.PromptTokenized{Attempt: 1, IDs: make([]vaneyoke.TokenID, simPrompt)})
 	}
-	if r.index < c.given {
-		c.cost.decoded++
+	if r.index < s.delivered {
+		s.cost.extraDecode++
 	}
-	c.give(&generation.Received{Attempt: r.attempt, Batch: vaneyoke.Batch{First: r.index, IDs: []vaneyoke.TokenID{1}, Text: []byte("x")}})
+	s.handle(&generation.Received{Attempt: r.attempt, Batch: vaneyoke.Batch{First: r.index, IDs: []vaneyoke.TokenID{1}, Text: []byte("x")}})
 	r.index++
-	r.next = c.now.Add(c.gap())
-	if r.attempt == 1 && r.index == failAt {
+	r.nextAt = s.now.Add(s.nextGap())
+	if r.attempt == 1 && r.index == failIndex {
 		switch {
-		case c.pause < 0:
-			r.next = c.now.Add(1000 * time.Hour)
-		case c.pause > 0:
-			r.next = c.now.Add(c.pause)
+		case s.stall < 0:
+			r.nextAt = s.now.Add(1000 * time.Hour)
+		case s.stall > 0:
+			r.nextAt = s.now.Add(s.stall)
 		}
 	}
 }
 
-// gap returns a healthy gap, which now and then is a stall.
-func (c *clocked) gap() time.Duration {
-	if c.rng.Float64() < stallChance {
-		return time.Duration(c.rng.Float64() * float64(stallLimit))
+// nextGap returns the gap of a healthy engine, which includes occasional stalls.
+func (s *simulation) nextGap() time.Duration {
+	if s.rng.Float64() < stallChance {
+		return time.Duration(s.rng.Float64() * float64(stallLimit))
 	}
-	return time.Duration(float64(simGap) * math.Exp(gapSpread*c.rng.NormFloat64()))
+	return time.Duration(float64(simGap) * math.Exp(gapSigma*s.rng.NormFloat64()))
 }
 
-// way is a setting of recovery, the product's own or a single-minded one.
-func way(name string) generation.Config {
+// recoveryConfig returns the configuration of a recovery mode, either one of the product or a one-sided baseline.
+func recoveryConfig(name string) generation.Config {
 	config := generation.DefaultConfig()
 	config.MaxTokens = simTokens
 	switch name {
@@ -177,40 +177,40 @@
 	return config
 }
 
-// measured is what a way came to over many answers.
-type measured struct {
+// summary holds the results of a recovery mode over many answers.
+type summary struct {
 	p50, p99  time.Duration
-	work      float64 // tokens prefilled and decoded beyond need, for each answer
-	suspected float64 // share of answers that were suspected at least once
+	work      float64 // extra tokens prefilled and decoded per answer
+	suspected float64 // share of answers with at least one suspected attempt
 }
 
-func measureWay(name string, pause time.Duration) measured {
-	var resumes []time.Duration
+func measure(name string, stall time.Duration) summary {
+	var longestGaps []time.Duration
 	work, suspected := 0, 0
-	for seed := range uint64(stories) {
-		c := runClocked(seed, way(name), pause)
-		resumes = append(resumes, c.resume)
-		work += c.prefilled + c.decoded
-		if c.suspected > 0 {
+	for seed := range uint64(simAnswers) {
+		s := simulate(seed, recoveryConfig(name), stall)
+		longestGaps = append(longestGaps, s.longestGap)
+		work += s.extraPrefill + s.extraDecode
+		if s.suspected > 0 {
 			suspected++
 		}
 	}
-	slices.Sort(resumes)
-	return measured{
-		p50: resumes[stories/2], p99: resumes[stories*99/100],
-		work: float64(work) / stories, suspected: float64(suspected) / stories,
+	slices.Sort(longestGaps)
+	return summary{
+		p50: longestGaps[simAnswers/2], p99: longestGaps[simAnswers*99/100],
+		work: float64(work) / simAnswers, suspected: float64(suspected) / simAnswers,
 	}
 }
 
-// TestRecoveryWays holds the settings for the Souk (fast) and for Trentfold (frugal) against each other and against single-minded ways.
-// All runs on a clock of its own, so that the figures repeat.
-func TestRecoveryWays(t *testing.T) {
-	ways := []string{"fast", "frugal", "always replace at once", "always race at any gap"}
-	got := map[string]map[string]measured{}
-	for kind, pause := range map[string]time.Duration{"healthy": 0, "dies": -1, "pauses 0.8 s": 800 * time.Millisecond} {
-		got[kind] = map[string]measured{}
-		for _, name := range ways {
-			m := measureWay(name, pause)
+// TestRecoveryModeTradeoffs compares fast and frugal recovery with each other and with one-sided baselines: fast recovery must resume sooner
+// without suspecting healthy engines, and frugal recovery must save work. A simulated clock makes the figures reproducible.
+func TestRecoveryModeTradeoffs(t *testing.T) {
+	modes := []string{"fast", "frugal", "always replace at once", "always race at any gap"}
+	got := map[string]map[string]summary{}
+	for kind, stall := range map[string]time.Duration{"healthy": 0, "dies": -1, "pauses 0.8 s": 800 * time.Millisecond} {
+		got[kind] = map[string]summary{}
+		for _, name := range modes {
+			m := measure(name, stall)
 			got[kind][name] = m
 			t.Logf("%-12s %-24s resume p50 %6s p99 %6s extra work %7.1f tokens, suspected %5.1f%%",
 				kind, name, m.p50.Round(time.Millisecond), m.p99.Round(time.Millisecond), m.work, 100*m.suspected)
--- a/decide/generation/restore.go
+++ b/decide/generation/restore.go
@@ -7,28 +7,28 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// RestoredStream is the attempt number that stands for the stream which another node was reading.
+// RestoredStream is the attempt number of the stream that another node was reading.
 const RestoredStream vaneyoke.Attempt = 0
 
-// Restored is an answer that another node had begun.
+// Restored is the state of an answer that another node started.
 type Restored struct {
 	Prompt   []vaneyoke.TokenID
 	IDs      []vaneyoke.TokenID
 	Text     []byte
-	Ended    bool                // whether the answer is whole
-	Upstream vaneyoke.UpstreamID // of the run that gave the last tokens, "" where there is none to go on from
+	Ended    bool                // whether the answer is complete
+	Upstream vaneyoke.UpstreamID // upstream of the run that sent the last tokens; "" if there is no run to resume
 }
 
-// Restore returns a generation that goes on where another node stopped, first from the engine's own stream.
+// Restore returns a generation that continues where another node stopped, first by resuming the engine's stream.
 func Restore(now time.Time, cfg Config, rng *rand.Rand, from Restored) (*State, []Effect) {
 	s := New(cfg, rng)
-	s.progress = now
-	s.sent = 1
+	s.lastProgress = now
+	s.possibleRuns = 1
 	s.answer.Prompt = from.Prompt
-	s.answer.unsure = len(from.IDs) > 0
+	s.answer.tailUncertain = len(from.IDs) > 0
 	if from.Ended {
 		s.answer.IDs, s.answer.Text = from.IDs, from.Text
-		s.answer.close()
+		s.answer.revealAll()
 		s.ended = true
 		return s, nil
 	}
@@ -49,10 +49,10 @@
 	return s, s.effects
 }
 
-// addRestored takes in the tokens of another node and reports whether they complete a stop string.
+// addRestored adds the tokens from another node and reports whether they complete a stop string.
 func (t *Transcript) addRestored(from Restored, stop Stop) bool {
-	unsure := t.unsure
+	tailUncertain := t.tailUncertain
 	matched := t.add(from.IDs, from.Text, stop)
-	t.unsure = unsure
+	t.tailUncertain = tailUncertain
 	return matched
 }
--- a/decide/generation/run.go
+++ b/decide/generation/run.go
@@ -6,7 +6,7 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// stage is how far a run has come.
+// stage is the progress of a run.
 type stage int
 
 const (
@@ -17,23 +17,23 @@
 
 // run is one live attempt.
 type run struct {
-	attempt     vaneyoke.Attempt
-	stream      vaneyoke.Attempt // the attempt whose number the engine knows the stream by
-	upstream    vaneyoke.UpstreamID
-	stage       stage
-	sent        bool               // whether an engine may have started it
-	resumed     bool               // attached to a stream that was started before
-	pending     []vaneyoke.TokenID // received, but held back by an unfinished character
-	placedAt    time.Time
-	probing     bool          // whether a probe is under way
-	aliveAt     time.Time     // when the upstream last answered a probe, or the run was placed
-	asked       int           // how often the upstream was asked what it does for the run since the last piece
-	ahead       int           // how often in a row it had made pieces that did not come
-	expect      time.Duration // expected time to the first token
-	gaps        gapEstimate
-	replica     vaneyoke.UpstreamID // keeps a replica of the run's memory; "" for none
-	fromReplica bool                // whether it goes on from a replica of a lost run
-	suspect     bool                // silent for so long that a second attempt was started
+	attempt      vaneyoke.Attempt
+	stream       vaneyoke.Attempt // the attempt that started the stream; the engine knows the stream by its number
+	upstream     vaneyoke.UpstreamID
+	stage        stage
+	sent         bool               // whether it was sent to an upstream
+	resumed      bool               // attached to the stream of an earlier attempt
+	pending      []vaneyoke.TokenID // received, but not accepted yet: their text ends within a character
+	placedAt     time.Time
+	probing      bool          // whether a probe is in flight
+	aliveAt      time.Time     // when the upstream last answered a probe, or the run was placed
+	queries      int           // queries for the run's state since the last batch
+	aheadReports int           // consecutive reports of chunks that were produced but have not arrived
+	expectedTTFT time.Duration // expected time to first token
+	gaps         gapEstimate
+	replica      vaneyoke.UpstreamID // keeps a replica of the run's KV cache; "" for none
+	fromReplica  bool                // whether it continues from a replica of a lost run's KV cache
+	suspect      bool                // silent for longer than its limit; a second attempt races it if one could be started
 }
 
 // cancel returns the effect that ends the run.
@@ -41,7 +41,7 @@
 	return Cancel{Attempt: r.attempt, Upstream: r.upstream, Stream: r.stream, Stop: stop, Cause: cause}
 }
 
-// next returns the index of the token that the run has to send next.
-func (r *run) next(given vaneyoke.Tokens) vaneyoke.Tokens {
-	return given + vaneyoke.Tokens(len(r.pending))
+// nextIndex returns the index of the next token that the run has to send, given the number of accepted tokens.
+func (r *run) nextIndex(accepted vaneyoke.Tokens) vaneyoke.Tokens {
+	return accepted + vaneyoke.Tokens(len(r.pending))
 }
--- a/decide/generation/silence.go
+++ b/decide/generation/silence.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	gapWeight       = 0.1 // weight of the newest gap in the moving mean
+	gapWeight       = 0.1 // weight of the latest gap in the moving averages
 	deviationWeight = 0.1
 )
 
-// gapEstimate follows the mean gap between batches and its mean deviation.
+// gapEstimate tracks exponentially weighted moving averages of the gap between batches and of its deviation.
 type gapEstimate struct {
 	last      time.Time
 	mean      time.Duration
@@ -15,7 +15,7 @@
 	count     int
 }
 
-// add takes in a batch that came at now.
+// add records a batch that arrived at now.
 func (g *gapEstimate) add(now time.Time) {
 	if g.count > 0 {
 		g.addGap(now.Sub(g.last))
@@ -41,5 +41,5 @@
 		return s.FirstToken
 	}
 	limit := g.mean + time.Duration(s.Deviations*float64(g.deviation))
-	return max(min(max(limit, s.Floor), s.Ceiling), time.Duration(s.Usual*float64(g.mean)))
+	return max(min(max(limit, s.Floor), s.Ceiling), time.Duration(s.MinMeanGaps*float64(g.mean)))
 }
--- a/decide/generation/state.go
+++ b/decide/generation/state.go
@@ -7,40 +7,40 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Stats counts what a generation cost beyond an undisturbed run.
+// Stats counts the attempts of a generation and their overhead over an undisturbed run.
 type Stats struct {
-	Attempts   int             // runs started, resumed streams among them
-	Losses     int             // attempts that were lost
-	Dropped    int             // batches of fenced attempts
-	Suspected  int             // attempts that were taken for silent
-	Discarded  vaneyoke.Tokens // tokens received and not let through
-	Reprefills vaneyoke.Tokens // tokens given again to engines as prefix
+	Attempts          int             // attempts started, including resumed streams
+	Losses            int             // attempts lost that may have run
+	DroppedBatches    int             // batches from fenced attempts, and out of order or duplicate ones
+	Suspected         int             // times that an attempt exceeded its silence limit
+	DiscardedTokens   vaneyoke.Tokens // tokens received but not accepted
+	ReprefilledTokens vaneyoke.Tokens // tokens sent to engines again as a prefix
 }
 
-// State is one answer and the chain of attempts that it comes from.
+// State is the state machine of one answer and its attempts.
 type State struct {
 	cfg     Config
 	rng     *rand.Rand
 	effects []Effect
 
-	answer    Transcript // what was let through
-	runs      []run
-	attempt   vaneyoke.Attempt // the last number given out
-	avoid     []vaneyoke.UpstreamID
-	losses    int       // in a row, without a token between them
-	progress  time.Time // when the last token was let through, or the request admitted
-	admitted  time.Time
-	sent      int                 // runs that an engine may have started
-	tries     int                 // runs that were sent to the upstream that was meant
-	arrived   int                 // runs that were sent and may have reached an engine
-	replica   vaneyoke.UpstreamID // holds a replica of the run that was lost last; "" for none
-	ended     bool
-	lastCode  vaneyoke.Code // why the last attempt was not placed
-	retryHint time.Duration
-	stats     Stats
+	answer            Transcript // accepted tokens
+	runs              []run
+	lastAttempt       vaneyoke.Attempt // the last number assigned
+	avoid             []vaneyoke.UpstreamID
+	consecutiveLosses int       // without a token between them
+	lastProgress      time.Time // when the last token was accepted, or the request admitted
+	admittedAt        time.Time
+	possibleRuns      int                 // runs that an engine may have started
+	countedAttempts   int                 // runs that count against MaxAttempts: those that may have reached their upstream
+	possibleArrivals  int                 // runs that may have reached an engine; later attempts count as retries
+	replicaHolder     vaneyoke.UpstreamID // holds a replica of the last lost run's KV cache; "" for none
+	ended             bool
+	lastCode          vaneyoke.Code // why the last attempt was not placed; CodeOK if it was
+	retryAfter        time.Duration
+	stats             Stats
 }
 
-// New returns a generation that waits for Admitted.
+// New returns a generation whose first event is Admitted.
 func New(cfg Config, rng *rand.Rand) *State {
 	return &State{cfg: cfg, rng: rng}
 }
@@ -48,14 +48,14 @@
 // Ended reports whether the generation has finished or failed.
 func (s *State) Ended() bool { return s.ended }
 
-// Stats returns what the generation has cost so far.
+// Stats returns the counters so far.
 func (s *State) Stats() Stats { return s.stats }
 
-// Transcript returns the answer so far; the caller must not change it.
+// Transcript returns the answer so far; the caller must not modify it.
 func (s *State) Transcript() *Transcript { return &s.answer }
 
-// Current returns the attempt whose stream gives the answer's tokens now, or -1 where none does.
-func (s *State) Current() vaneyoke.Attempt {
+// StreamingAttempt returns the attempt whose stream provides the answer's tokens, or -1 if there is none.
+func (s *State) StreamingAttempt() vaneyoke.Attempt {
 	for i := range s.runs {
 		if s.runs[i].stage == stageStreaming || s.runs[i].resumed {
 			return s.runs[i].attempt
@@ -64,36 +64,36 @@
 	return -1
 }
 
-// Newest returns the number of the attempt that was begun last, 0 before the first.
-func (s *State) Newest() vaneyoke.Attempt { return s.attempt }
+// LatestAttempt returns the number of the latest attempt, 0 before the first.
+func (s *State) LatestAttempt() vaneyoke.Attempt { return s.lastAttempt }
 
-// Sent reports whether any engine may have started a run.
-func (s *State) Sent() bool { return s.sent > 0 }
+// MayHaveRun reports whether any engine may have started a run.
+func (s *State) MayHaveRun() bool { return s.possibleRuns > 0 }
 
-// Handle takes in an event and returns what has to be done; the slice is valid until the next call.
+// Handle processes an event and returns the resulting effects; the slice is valid until the next call.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = s.effects[:0]
 	if s.ended {
-		s.countLate(ev)
+		s.countLateBatch(ev)
 		return s.effects
 	}
 	switch ev := ev.(type) {
 	case Admitted:
-		s.progress = now
-		s.admitted = now
+		s.lastProgress = now
+		s.admittedAt = now
 		s.place(now, 0, false)
 	case Placed:
 		s.placed(now, ev)
-	case Inspected:
-		s.inspected(ev)
+	case TailInspected:
+		s.tailInspected(ev)
 	case Probed:
 		s.probed(now, ev)
-	case Asked:
-		s.asked(now, ev)
+	case RunReported:
+		s.runReported(now, ev)
 	case NotPlaced:
 		s.notPlaced(now, ev)
-	case PromptRead:
-		s.promptRead(ev)
+	case PromptTokenized:
+		s.promptTokenized(ev)
 	case *Received:
 		s.received(now, ev)
 	case Ended:
@@ -104,8 +104,8 @@
 		s.rejected(ev)
 	case CallerGone:
 		s.fail(Fail{Code: vaneyoke.CodeCallerGone})
-	case Interrupted:
-		s.interrupt(ev)
+	case NodeStopping:
+		s.nodeStopping(ev)
 	case Quarantined:
 		s.quarantine(ev.RetryAfter)
 	case Suspended:
@@ -118,10 +118,10 @@
 	return s.effects
 }
 
-func (s *State) do(e Effect) { s.effects = append(s.effects, e) }
+func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// find returns the live run of an attempt, or nil where the attempt is fenced.
-func (s *State) find(attempt vaneyoke.Attempt) *run {
+// findRun returns the live run of an attempt, or nil if the attempt is fenced.
+func (s *State) findRun(attempt vaneyoke.Attempt) *run {
 	for i := range s.runs {
 		if s.runs[i].attempt == attempt {
 			return &s.runs[i]
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// remove fences an attempt.
-func (s *State) remove(attempt vaneyoke.Attempt) {
+// removeRun fences an attempt: later events of it are ignored.
+func (s *State) removeRun(attempt vaneyoke.Attempt) {
 	kept := s.runs[:0]
 	for _, r := range s.runs {
 		if r.attempt != attempt {
@@ -141,68 +141,68 @@
 	s.runs = kept
 }
 
-func (s *State) countLate(ev Event) {
+func (s *State) countLateBatch(ev Event) {
 	if ev, ok := ev.(*Received); ok {
-		s.drop(ev.Batch)
+		s.dropBatch(ev.Batch)
 	}
 }
 
-func (s *State) drop(b vaneyoke.Batch) {
-	s.stats.Dropped++
-	s.stats.Discarded += vaneyoke.Tokens(len(b.IDs))
+func (s *State) dropBatch(b vaneyoke.Batch) {
+	s.stats.DroppedBatches++
+	s.stats.DiscardedTokens += vaneyoke.Tokens(len(b.IDs))
 }
 
-func (s *State) promptRead(ev PromptRead) {
-	if s.answer.Prompt == nil && s.find(ev.Attempt) != nil {
+func (s *State) promptTokenized(ev PromptTokenized) {
+	if s.answer.Prompt == nil && s.findRun(ev.Attempt) != nil {
 		s.answer.Prompt = ev.IDs
 	}
 }
 
-// received lets a batch through where it comes from a live attempt and holds the next tokens.
+// received accepts a batch that comes from a live attempt and continues the answer.
 func (s *State) received(now time.Time, ev *Received) {
-	r := s.find(ev.Attempt)
+	r := s.findRun(ev.Attempt)
 	if r == nil {
-		s.drop(ev.Batch)
+		s.dropBatch(ev.Batch)
 		return
 	}
-	want := r.next(s.answer.Len())
+	want := r.nextIndex(s.answer.Len())
 	if len(ev.Batch.IDs) == 0 || ev.Batch.End() <= want {
-		s.drop(ev.Batch)
+		s.dropBatch(ev.Batch)
 		return
 	}
 	if ev.Batch.First != want {
-		s.drop(ev.Batch)
-		s.lose(now, r, CauseMalformed)
+		s.dropBatch(ev.Batch)
+		s.loseRun(now, r, CauseMalformed)
 		return
 	}
 	r.stage = stageStreaming
 	r.suspect = false
-	r.heard()
+	r.resetQueries()
 	r.gaps.add(now)
 	if len(ev.Batch.Text) == 0 {
 		r.pending = append(r.pending, ev.Batch.IDs...)
 		return
 	}
-	s.letThrough(now, r, ev.Batch)
+	s.accept(now, r, ev.Batch)
 }
 
-// letThrough gives a batch to the caller and makes its run the only one.
-func (s *State) letThrough(now time.Time, r *run, b vaneyoke.Batch) {
-	s.fenceOthers(r.attempt)
-	r = s.find(r.attempt)
+// accept appends a batch to the answer and cancels all other runs.
+func (s *State) accept(now time.Time, r *run, b vaneyoke.Batch) {
+	s.cancelOthers(r.attempt)
+	r = s.findRun(r.attempt)
 	s.answer.IDs = append(s.answer.IDs, r.pending...)
 	r.pending = nil
 	matched := s.answer.add(b.IDs, b.Text, s.cfg.Stop)
-	s.progress = now
-	s.losses = 0
+	s.lastProgress = now
+	s.consecutiveLosses = 0
 	s.avoid = s.avoid[:0]
-	s.do(Given{})
+	s.emit(Deliver{})
 	if matched {
 		s.finish(vaneyoke.FinishStop)
 	}
 }
 
-func (s *State) fenceOthers(winner vaneyoke.Attempt) {
+func (s *State) cancelOthers(winner vaneyoke.Attempt) {
 	if len(s.runs) == 1 {
 		return
 	}
@@ -211,67 +211,67 @@
 			s.cancel(&s.runs[i], true, 0)
 		}
 	}
-	s.runs = append(s.runs[:0], *s.find(winner))
+	s.runs = append(s.runs[:0], *s.findRun(winner))
 }
 
-// cancel tells the shell to end a run; its held back tokens are lost work.
+// cancel emits the Cancel of a run and counts its pending tokens as discarded.
 func (s *State) cancel(r *run, stop bool, cause Cause) {
-	s.stats.Discarded += vaneyoke.Tokens(len(r.pending))
-	s.do(r.cancel(stop && r.stage != stagePlacing, cause))
+	s.stats.DiscardedTokens += vaneyoke.Tokens(len(r.pending))
+	s.emit(r.cancel(stop && r.stage != stagePlacing, cause))
 }
 
-// complete reports whether the answer has all the tokens that it may have.
+// complete reports whether the answer has reached MaxTokens.
 func (s *State) complete() bool {
 	return s.cfg.MaxTokens > 0 && s.answer.Len() >= s.cfg.MaxTokens
 }
 
 // runEnded finishes the answer at the end of a live attempt's stream.
 func (s *State) runEnded(now time.Time, ev Ended) {
-	r := s.find(ev.Attempt)
+	r := s.findRun(ev.Attempt)
 	if r == nil {
 		return
 	}
 	if len(r.pending) > 0 {
-		s.letThrough(now, r, vaneyoke.Batch{})
+		s.accept(now, r, vaneyoke.Batch{})
 	}
 	if s.ended {
 		return
 	}
-	s.remove(ev.Attempt)
+	s.removeRun(ev.Attempt)
 	s.finish(ev.Reason)
 }
 
 func (s *State) finish(reason vaneyoke.FinishReason) {
 	s.ended = true
 	s.cancelAll()
-	s.answer.close()
-	s.do(Finish{Reason: reason, Usage: s.answer.Usage()})
+	s.answer.revealAll()
+	s.emit(Finish{Reason: reason, Usage: s.answer.Usage()})
 }
 
-// supersede ends the answer here without stopping its run, which the new owner may read on.
+// supersede ends the answer on this node without stopping its runs, whose streams the new owner may resume.
 func (s *State) supersede() {
-	s.leaveRuns()
+	s.detachRuns()
 	s.fail(Fail{Code: vaneyoke.CodeSuperseded})
 }
 
-// leaveRuns gives up the runs here without stopping them.
-func (s *State) leaveRuns() {
+// detachRuns disconnects from the runs without stopping them.
+func (s *State) detachRuns() {
 	for i := range s.runs {
 		s.cancel(&s.runs[i], false, 0)
 	}
 	s.runs = s.runs[:0]
 }
 
-// interrupt ends the answer where it stands; it says that nothing was run only where that is certain.
-func (s *State) interrupt(ev Interrupted) {
-	if ev.RunsOn {
-		s.leaveRuns()
+// nodeStopping ends the answer. Its code promises that nothing was run only if that is certain.
+func (s *State) nodeStopping(ev NodeStopping) {
+	if ev.KeepRuns {
+		s.detachRuns()
 	}
 	switch {
 	case s.answer.Len() > 0:
-		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the node ended"})
-	case s.Sent():
-		s.fail(Fail{Code: vaneyoke.CodeMayHaveRun, Detail: "the node ended"})
+		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the node is stopping"})
+	case s.MayHaveRun():
+		s.fail(Fail{Code: vaneyoke.CodeMayHaveRun, Detail: "the node is stopping"})
 	default:
 		s.fail(Fail{Code: vaneyoke.CodeStopping})
 	}
@@ -280,8 +280,8 @@
 func (s *State) fail(f Fail) {
 	s.ended = true
 	s.cancelAll()
-	s.answer.close()
-	s.do(f)
+	s.answer.revealAll()
+	s.emit(f)
 }
 
 func (s *State) cancelAll() {
@@ -292,15 +292,15 @@
 }
 
 func (s *State) rejected(ev Rejected) {
-	if s.find(ev.Attempt) == nil {
+	if s.findRun(ev.Attempt) == nil {
 		return
 	}
-	s.remove(ev.Attempt)
+	s.removeRun(ev.Attempt)
 	code := vaneyoke.CodeRefused
 	switch {
 	case s.answer.Len() > 0:
 		code = vaneyoke.CodeInterrupted
-	case s.sent > 1:
+	case s.possibleRuns > 1:
 		code = vaneyoke.CodeUpstream // this run was refused, but an earlier one may have run
 	}
 	s.fail(Fail{Code: code, Detail: ev.Detail})
--- a/decide/generation/transcript.go
+++ b/decide/generation/transcript.go
@@ -6,26 +6,26 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Transcript is the answer so far: its token ids, and the text they stand for.
+// Transcript is the answer so far: its token ids and their text.
 type Transcript struct {
-	Prompt  []vaneyoke.TokenID // nil until an engine told how it read the prompt
+	Prompt  []vaneyoke.TokenID // nil until an engine reported the prompt's token ids
 	IDs     []vaneyoke.TokenID
-	Text    []byte // text of all ids; it only grows, except that a stop string cuts its end off
-	Visible int    // bytes of Text that no stop string can still take back
-	Trims   int    // how often ids at the end were taken back; a copy made before is no prefix any more
+	Text    []byte // text of all ids; append-only, except that a stop string truncates it
+	Visible int    // bytes of Text that no stop string can truncate any more
+	Trims   int    // times that ids were removed from the end; an earlier copy is then no longer a prefix
 
-	unsure bool // whether the last id may stand for text that the engine still holds back
+	tailUncertain bool // whether the engine may still buffer text of the last ids
 }
 
 // Len returns the number of tokens.
 func (t *Transcript) Len() vaneyoke.Tokens { return vaneyoke.Tokens(len(t.IDs)) }
 
-// Usage returns the figures that the answer would have if it ended here.
+// Usage returns the token usage if the answer ended here.
 func (t *Transcript) Usage() vaneyoke.Usage {
 	return vaneyoke.Usage{Prompt: vaneyoke.Tokens(len(t.Prompt)), Completion: t.Len()}
 }
 
-// Prefix returns the ids that an engine needs to go on from here, in a slice of its own.
+// Prefix returns a new slice of the ids that an engine needs to continue from here.
 func (t *Transcript) Prefix() []vaneyoke.TokenID {
 	prefix := make([]vaneyoke.TokenID, 0, len(t.Prompt)+len(t.IDs))
 	prefix = append(prefix, t.Prompt...)
@@ -35,7 +35,7 @@
 // add appends a batch and reports whether its text completes a stop string.
 func (t *Transcript) add(ids []vaneyoke.TokenID, text []byte, stop Stop) bool {
 	t.IDs = append(t.IDs, ids...)
-	t.unsure = len(ids) > 1
+	t.tailUncertain = len(ids) > 1
 	t.Text = append(t.Text, text...)
 	end, matched := stop.match(t.Text, t.Visible)
 	if matched {
@@ -45,19 +45,19 @@
 	return matched
 }
 
-// trim takes off ids whose text was held back, and returns how many there were.
-func (t *Transcript) trim(held vaneyoke.Tokens) vaneyoke.Tokens {
-	held = max(min(held, t.Len()), 0)
-	if held > 0 {
+// trim removes the ids at the end whose text was buffered, and returns their number.
+func (t *Transcript) trim(buffered vaneyoke.Tokens) vaneyoke.Tokens {
+	buffered = max(min(buffered, t.Len()), 0)
+	if buffered > 0 {
 		t.Trims++
 	}
-	t.IDs = t.IDs[:t.Len()-held]
-	t.unsure = false
-	return held
+	t.IDs = t.IDs[:t.Len()-buffered]
+	t.tailUncertain = false
+	return buffered
 }
 
-// close makes the whole text visible.
-func (t *Transcript) close() { t.Visible = len(t.Text) }
+// revealAll makes the whole text visible.
+func (t *Transcript) revealAll() { t.Visible = len(t.Text) }
 
 // Stop is the set of strings that end an answer.
 type Stop struct {
@@ -65,7 +65,8 @@
 	Include bool // whether the matched string stays in the answer
 }
 
-// match looks for the earliest stop string that starts at from or later; without one it returns the end of what no later text can make part of one.
+// match finds the earliest stop string that starts at or after from, and returns where the answer then ends. Without a match it returns the
+// end of the text that cannot become part of a stop string.
 func (s Stop) match(text []byte, from int) (end int, matched bool) {
 	if len(s.Strings) == 0 {
 		return len(text), false
@@ -81,7 +82,7 @@
 	if first >= 0 {
 		return end, true
 	}
-	return max(from, len(text)-s.held(text)), false
+	return max(from, len(text)-s.partialMatch(text)), false
 }
 
 func (s Stop) cut(at int, stop string) int {
@@ -91,8 +92,8 @@
 	return at
 }
 
-// held returns the length of the longest end of text that is the start of a stop string.
-func (s Stop) held(text []byte) int {
+// partialMatch returns the length of the longest suffix of text that is a proper prefix of a stop string.
+func (s Stop) partialMatch(text []byte) int {
 	longest := 0
 	for _, stop := range s.Strings {
 		for n := min(len(stop)-1, len(text)); n > longest; n-- {
--- a/shell/relay/attempt.go
+++ b/shell/relay/attempt.go
@@ -22,13 +22,13 @@
 const cancelTimeout = 2 * time.Second
 
 // inspect asks an engine where the lost engine's shown text ended.
-func (s *Session) inspect(e generation.Inspect, upstream vaneyoke.Upstream) {
+func (s *Session) inspect(e generation.InspectTail, upstream vaneyoke.Upstream) {
 	held, err := s.relay.engines.Held(s.ctx, upstream.URL, s.req.Model, e.IDs)
 	if err != nil {
 		s.failed(e.Attempt, &engine.NotSentError{Reason: err.Error()})
 		return
 	}
-	s.handle(time.Now(), generation.Inspected{Attempt: e.Attempt, Held: held})
+	s.handle(time.Now(), generation.TailInspected{Attempt: e.Attempt, Buffered: held})
 }
 
 // start opens the attempt's link and follows it in a goroutine.
@@ -164,7 +164,7 @@
 	now := time.Now()
 	switch m := message.(type) {
 	case engine.Prompt:
-		s.handle(now, generation.PromptRead{Attempt: attempt, IDs: m.IDs})
+		s.handle(now, generation.PromptTokenized{Attempt: attempt, IDs: m.IDs})
 	case *engine.Tokens:
 		received.Batch = m.Batch
 		s.handleTokens(now, received)
--- a/shell/relay/bounds.go
+++ b/shell/relay/bounds.go
@@ -53,7 +53,7 @@
 	config.Deadline = f.Deadline
 	config.MaxWait = f.Deadline.Sub(now)
 	goal, pause := cmp.Or(f.Goal, unnamedGoal), cmp.Or(f.Pause, unnamedPause)
-	config.MaxUnsent = share(goal, unsentGoals)
+	config.MaxPlacementWait = share(goal, unsentGoals)
 	config.MaxAttempts = max(f.MaxAttempts, 1)
 	config.MaxLosses = manyLosses
 	config.Backoff = generation.Backoff{Base: retryPause, Cap: retryCap}
@@ -66,13 +66,13 @@
 		config.Silence.Floor = config.MaxWait
 		config.Silence.Ceiling = config.MaxWait
 	case f.Stream:
-		config.AskSilent = askSilent
-		config.LastWaits = true
+		config.MaxRunQueries = askSilent
+		config.KeepLastAttempt = true
 		config.Silence.FirstToken = share(goal, firstGoals)
-		config.Pause = pause
+		config.EventIntervalGoal = pause
 		config.Silence.Floor = share(pause, floorPauses)
 		config.Silence.Ceiling = share(pause, noticePauses)
-		config.Silence.Usual = usualGaps
+		config.Silence.MinMeanGaps = usualGaps
 	default:
 		config.Silence.FirstToken = Suspect(goal)
 		config.Silence.Floor = config.Silence.FirstToken
--- a/shell/relay/forwarded.go
+++ b/shell/relay/forwarded.go
@@ -145,7 +145,7 @@
 }
 
 // ask asks what an attempt's upstream does for its run.
-func (s *Session) ask(e generation.Ask) {
+func (s *Session) ask(e generation.QueryRun) {
 	s.mu.Lock()
 	l := s.links[e.Attempt]
 	s.mu.Unlock()
@@ -153,13 +153,13 @@
 	defer cancel()
 	work, made := s.workOf(ctx, e, l.upstream)
 	s.logAttempt(e.Attempt, l.upstream.ID).WithFields(logrus.Fields{
-		"work": work, "made": made, "silent_ms": e.Silent.Milliseconds(),
+		"work": work, "made": made, "silent_ms": e.SilentFor.Milliseconds(),
 	}).Info("upstream_asked")
-	s.handle(time.Now(), generation.Asked{Attempt: e.Attempt, Work: work, Made: made})
+	s.handle(time.Now(), generation.RunReported{Attempt: e.Attempt, State: work, Produced: made})
 }
 
 // workOf returns what an upstream does for a run, and how many pieces of its answer it has made.
-func (s *Session) workOf(ctx context.Context, e generation.Ask, upstream vaneyoke.Upstream) (vaneyoke.Work, vaneyoke.Tokens) {
+func (s *Session) workOf(ctx context.Context, e generation.QueryRun, upstream vaneyoke.Upstream) (vaneyoke.Work, vaneyoke.Tokens) {
 	if s.relay.mayAsk(ctx, upstream.ID) {
 		return s.relay.sender.Work(ctx, upstream, s.req.ID)
 	}
@@ -167,8 +167,8 @@
 }
 
 // askWait returns how long an upstream is given to say what it does for a run.
-func (s *Session) askWait(e generation.Ask) time.Duration {
-	if m, ok := s.mode.(*forwarded); ok && e.Begun && m.Pause > 0 {
+func (s *Session) askWait(e generation.QueryRun) time.Duration {
+	if m, ok := s.mode.(*forwarded); ok && e.HasOutput && m.Pause > 0 {
 		return min(longestAsk, share(m.Pause, askPauses))
 	}
 	return longestAsk
--- a/shell/relay/guard.go
+++ b/shell/relay/guard.go
@@ -138,7 +138,7 @@
 	left, barred := s.relay.guard.Barred(s.req.Content)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.links[s.state.Newest()]; !barred || s.proven || (l != nil && !l.headAt.IsZero() && !l.fenced) {
+	if l := s.links[s.state.LatestAttempt()]; !barred || s.proven || (l != nil && !l.headAt.IsZero() && !l.fenced) {
 		return
 	}
 	s.handleLocked(time.Now(), generation.Quarantined{RetryAfter: left})
--- a/shell/relay/meter.go
+++ b/shell/relay/meter.go
@@ -18,7 +18,7 @@
 
 // countUnanswered counts a request that an upstream may have run without an answer that came.
 func (s *Session) countUnanswered() {
-	if s.state.Sent() {
+	if s.state.MayHaveRun() {
 		s.count()
 	}
 }
--- a/shell/relay/place.go
+++ b/shell/relay/place.go
@@ -17,7 +17,7 @@
 
 // place waits for the pause that was asked for, and chooses an upstream.
 func (s *Session) place(e generation.Place) {
-	if e.After > 0 && !pause.For(s.ctx, e.After) {
+	if e.Delay > 0 && !pause.For(s.ctx, e.Delay) {
 		return
 	}
 	s.awaitVerified(s.ctx)
@@ -52,7 +52,7 @@
 		l.replica, _ = s.relay.placer.Replica(need, upstream)
 	}
 	s.handleLocked(now, generation.Placed{
-		Attempt: e.Attempt, Upstream: upstream.ID, Expect: expect, Replica: l.replica.ID,
+		Attempt: e.Attempt, Upstream: upstream.ID, ExpectedTTFT: expect, Replica: l.replica.ID,
 		HoldsReplica: e.Prefer != "" && upstream.URL == need.Prefer.URL,
 	})
 	s.settleUnused(e.Attempt)
--- a/shell/relay/record.go
+++ b/shell/relay/record.go
@@ -76,8 +76,8 @@
 	m, stats := s.relay.metrics, s.result.Stats
 	m.Open.Add(-1)
 	m.Tokens.Add(int64(s.result.Usage.Completion))
-	m.Discarded.Add(int64(stats.Discarded))
-	m.Reprefill.Add(int64(stats.Reprefills))
+	m.Discarded.Add(int64(stats.DiscardedTokens))
+	m.Reprefill.Add(int64(stats.ReprefilledTokens))
 	m.Results.Add(s.result.Code.Info().Name, 1)
 	s.measure()
 	s.countUnanswered()
@@ -100,7 +100,7 @@
 		"tokens":    s.state.Transcript().Len(),
 		"attempts":  stats.Attempts,
 		"losses":    stats.Losses,
-		"discarded": stats.Discarded,
+		"discarded": stats.DiscardedTokens,
 		"first_ms":  s.firstMs(),
 		"gap_ms":    s.pace.longest.Milliseconds(),
 		"ms":        time.Since(s.req.ReceivedAt).Milliseconds(),
@@ -118,7 +118,7 @@
 		"route":    s.req.Kind,
 		"upstream": s.last,
 		"request":  s.req.ID,
-		"sent":     s.state.Sent(),
+		"sent":     s.state.MayHaveRun(),
 		"tokens":   s.state.Transcript().Len(),
 		"attempts": s.state.Stats().Attempts,
 		"ms":       time.Since(s.req.ReceivedAt).Milliseconds(),
--- a/shell/relay/relay.go
+++ b/shell/relay/relay.go
@@ -171,7 +171,7 @@
 func interrupt(sessions []*Session) int {
 	now := time.Now()
 	for _, s := range sessions {
-		s.handle(now, generation.Interrupted{})
+		s.handle(now, generation.NodeStopping{})
 	}
 	return len(sessions)
 }
@@ -224,7 +224,7 @@
 	s.epoch = 1
 	r.metrics.Sessions.Add(1)
 	if !r.follow(s) {
-		s.handle(time.Now(), generation.Interrupted{})
+		s.handle(time.Now(), generation.NodeStopping{})
 		return s
 	}
 	r.placer.Admit(need)
--- a/shell/relay/restore.go
+++ b/shell/relay/restore.go
@@ -46,7 +46,7 @@
 		Trims:    t.Trims,
 		Answer:   s.answer,
 	}
-	if l := s.links[s.state.Current()]; l != nil {
+	if l := s.links[s.state.StreamingAttempt()]; l != nil {
 		saved.StreamName, saved.StreamBase, saved.Upstream = l.name, l.base, l.upstream
 		saved.Restored.Upstream = l.upstream.ID
 	}
@@ -61,7 +61,7 @@
 func (s *Session) Supersede() { s.handle(time.Now(), generation.Superseded{}) }
 
 // LeaveToNext ends the session here because the node ends; its run goes on for the node that takes the session over.
-func (s *Session) LeaveToNext() { s.handle(time.Now(), generation.Interrupted{RunsOn: true}) }
+func (s *Session) LeaveToNext() { s.handle(time.Now(), generation.NodeStopping{KeepRuns: true}) }
 
 // Restore goes on with another node's session.
 func (r *Relay) Restore(ctx context.Context, req *vaneyoke.Request, saved Saved) *Session {
@@ -91,7 +91,7 @@
 		return s
 	}
 	if !goesOn {
-		s.handleLocked(now, generation.Interrupted{RunsOn: true})
+		s.handleLocked(now, generation.NodeStopping{KeepRuns: true})
 		return s
 	}
 	for _, effect := range effects {
--- a/shell/relay/session.go
+++ b/shell/relay/session.go
@@ -202,7 +202,7 @@
 }
 
 func (s *Session) setTimer(now time.Time) {
-	due := s.state.Deadline()
+	due := s.state.NextTick()
 	if s.result.Ended || due.IsZero() {
 		s.timer.Stop()
 		return
@@ -215,11 +215,11 @@
 	switch e := effect.(type) {
 	case generation.Place:
 		go s.place(e)
-	case generation.Inspect:
+	case generation.InspectTail:
 		go s.inspect(e, s.links[e.Attempt].upstream)
 	case generation.Probe:
 		go s.probe(e)
-	case generation.Ask:
+	case generation.QueryRun:
 		go s.ask(e)
 	case generation.Start:
 		s.start(e)
@@ -227,7 +227,7 @@
 		s.resume(e)
 	case generation.Cancel:
 		s.cancel(e)
-	case generation.Given:
+	case generation.Deliver:
 		s.pace.add(time.Now())
 		s.changed.Broadcast()
 	case generation.Finish:
