--- a/decide/generation/recover.go
+++ b/decide/generation/recover.go
@@ -205,7 +205,7 @@
 // placeAgain starts another attempt after a delay, or fails.
 func (s *State) placeAgain(now time.Time) {
 	if s.answer.Len() > 0 && s.answer.Prompt == nil && !s.cfg.Opaque {
-		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the engine did not report the prompt's token ids"})
+		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the engine did not tell the prompt's token ids"})
 		return
 	}
 	delay := s.backoff()
--- a/decide/generation/state.go
+++ b/decide/generation/state.go
@@ -269,9 +269,9 @@
 	}
 	switch {
 	case s.answer.Len() > 0:
-		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the node is stopping"})
+		s.fail(Fail{Code: vaneyoke.CodeInterrupted, Detail: "the node ended"})
 	case s.MayHaveRun():
-		s.fail(Fail{Code: vaneyoke.CodeMayHaveRun, Detail: "the node is stopping"})
+		s.fail(Fail{Code: vaneyoke.CodeMayHaveRun, Detail: "the node ended"})
 	default:
 		s.fail(Fail{Code: vaneyoke.CodeStopping})
 	}
