--- a/decide/placement/load.go
+++ b/decide/placement/load.go
@@ -30,7 +30,7 @@
 	return lo.Map(s.order, func(e *entry, _ int) Load {
 		return Load{
 			Upstream: e.upstream, InFlight: e.inFlight, Open: e.breaker.IsOpen(), Drained: e.drained, Limited: e.limit.Named,
-			Held: e.hold.At(now, &e.upstream), Ended: e.ended,
+			Held: e.hold.Active(now, &e.upstream), Ended: e.ended,
 		}
 	})
 }
--- a/decide/placement/pushback.go
+++ b/decide/placement/pushback.go
@@ -15,7 +15,7 @@
 // Signalled takes in what an upstream said of itself in an answer, and returns the hold that it leads to and what it was before; a nil hold says
 // that nothing follows. Once a pushback is over a single attempt finds out whether the upstream takes work again.
 func (s *State) Signalled(now time.Time, signal pushback.Signal) (hold *pushback.Hold, before pushback.Hold) {
-	hold, before = s.holds.Note(now, signal)
+	hold, before = s.holds.Record(now, signal)
 	if e, ok := s.entries[signal.Upstream.ID]; ok && hold != nil {
 		e.hold = hold
 		if hold.IsPushedBack(now, &e.upstream) {
@@ -28,7 +28,7 @@
 // IsHeld reports whether an upstream gets no new attempt because it said so.
 func (s *State) IsHeld(now time.Time, id vaneyoke.UpstreamID) bool {
 	e, ok := s.entries[id]
-	return ok && e.hold.At(now, &e.upstream)
+	return ok && e.hold.Active(now, &e.upstream)
 }
 
 // IsPushedBack reports whether an upstream wants nothing at all for a while, questions included.
--- a/decide/placement/state.go
+++ b/decide/placement/state.go
@@ -97,7 +97,7 @@
 	breaker    retry.BreakerConfig
 	entries    map[vaneyoke.UpstreamID]*entry
 	limits     map[vaneyoke.UpstreamID]vaneyoke.Limit // that upstreams name, also those that are not listed
-	holds      *pushback.Book
+	holds      *pushback.Tracker
 	order      []*entry // by id, so that a choice depends on the random numbers alone
 	scratch    []*entry
 	divisions  map[vaneyoke.ServiceID]*division // of the services whose upstreams do not all get work
@@ -107,7 +107,7 @@
 func New(dataCentre vaneyoke.DataCentreID, breaker retry.BreakerConfig) *State {
 	return &State{
 		dataCentre: dataCentre, breaker: breaker, entries: map[vaneyoke.UpstreamID]*entry{}, limits: map[vaneyoke.UpstreamID]vaneyoke.Limit{},
-		holds: pushback.NewBook(), divisions: map[vaneyoke.ServiceID]*division{},
+		holds: pushback.NewTracker(), divisions: map[vaneyoke.ServiceID]*division{},
 	}
 }
 
@@ -122,7 +122,7 @@
 	for _, u := range upstreams {
 		e, ok := s.entries[u.ID]
 		if !ok {
-			e = &entry{breaker: retry.NewBreaker(s.breaker), limit: s.limits[u.ID], hold: s.holds.Of(u.ID)}
+			e = &entry{breaker: retry.NewBreaker(s.breaker), limit: s.limits[u.ID], hold: s.holds.Hold(u.ID)}
 			if byURL == nil {
 				byURL = lo.GroupBy(s.order, func(e *entry) string { return e.upstream.URL })
 			}
@@ -244,7 +244,7 @@
 // mayWork reports whether nothing but failures speaks against new work on the upstream.
 func (e *entry) mayWork(now time.Time) bool {
 	return e.upstream.State == vaneyoke.StateLive && !e.drained && !e.leaving && !e.gone && !now.Before(e.goneUntil) && !now.Before(e.withheld) &&
-		!e.hold.At(now, &e.upstream)
+		!e.hold.Active(now, &e.upstream)
 }
 
 // takesWork reports whether the upstream may be given new work.
--- a/decide/pushback/doc.go
+++ b/decide/pushback/doc.go
@@ -1,4 +1,5 @@
-// Package pushback decides, without I/O, how long a node sends nothing to an upstream that told it so in an answer: for a while (server
-// pushback), or because it is leaving (connection draining). Other than a circuit breaker, whose trials and other nodes' successes close it, a
-// hold ends by the time that the upstream named. It binds the node that was told, and one life of the upstream.
+// Package pushback decides, without I/O, how long a node sends no requests to an upstream that asked for this in a response: for the requested
+// time (server pushback), or because the upstream is shutting down (connection draining). A circuit breaker is closed by probes and by other
+// nodes' successes; a hold ends only when its time is over. It applies to the node that received the response and to one incarnation of the
+// upstream.
 package pushback
--- a/decide/pushback/hold.go
+++ b/decide/pushback/hold.go
@@ -7,68 +7,69 @@
 )
 
 const (
-	// longest is the longest pushback that is kept as it was asked for; a longer one is taken for a mistake, and lasts for assumed.
-	longest = time.Minute
-	assumed = 5 * time.Second
-	// drains is how long an upstream that is leaving is left aside, whatever the list says of it: longer than any drain.
-	drains = 10 * time.Minute
+	// maxPushback is the longest pushback that is honoured as requested. A longer one is treated as an error and replaced by defaultPushback.
+	maxPushback     = time.Minute
+	defaultPushback = 5 * time.Second
+	// shutdownHold is how long an upstream that is shutting down gets no requests, even if it is still listed. It exceeds any drain time.
+	shutdownHold = 10 * time.Minute
 )
 
-// Signal is what an upstream said of itself in an answer to this node.
+// Signal is a pushback or a shutdown notice that an upstream sent in a response to this node.
 type Signal struct {
-	Upstream vaneyoke.Upstream // as it was known when the request was sent
-	Pushback time.Duration     // for which it wants nothing from this node; 0 where it does not say
-	Leaving  bool
+	Upstream vaneyoke.Upstream // as listed when the request was sent
+	Pushback time.Duration     // how long it wants no requests from this node; 0 if not stated
+	Leaving  bool              // whether it is shutting down
 }
 
-// Hold says until when a node sends nothing to one life of an upstream; the zero value holds nothing back.
+// Hold is the time for which a node sends no requests to one incarnation of an upstream; the zero value holds nothing back.
 type Hold struct {
 	Upstream     vaneyoke.UpstreamID
-	Incarnation  vaneyoke.Incarnation // 0 where it is not known
+	Incarnation  vaneyoke.Incarnation // 0 if unknown
 	URL          string
-	PushbackEnds time.Time // the zero time where there was none
-	LeavingEnds  time.Time // the zero time where it did not say that it is leaving
+	PushbackEnds time.Time // zero if there was no pushback
+	LeavingEnds  time.Time // end of the hold for a shutdown; zero if none was announced
 }
 
-// At reports whether an upstream gets nothing; a nil hold holds nothing back.
-func (h *Hold) At(now time.Time, u *vaneyoke.Upstream) bool {
-	return h != nil && now.Before(h.ends()) && h.binds(u)
+// Active reports whether the upstream may get no requests now; a nil hold is never active.
+func (h *Hold) Active(now time.Time, u *vaneyoke.Upstream) bool {
+	return h != nil && now.Before(h.until()) && h.appliesTo(u)
 }
 
-// IsPushedBack reports whether an upstream asked for nothing for a while that is not over.
+// IsPushedBack reports whether the upstream requested a pushback that has not ended.
 func (h *Hold) IsPushedBack(now time.Time, u *vaneyoke.Upstream) bool {
-	return h != nil && now.Before(h.PushbackEnds) && h.binds(u)
+	return h != nil && now.Before(h.PushbackEnds) && h.appliesTo(u)
 }
 
-// IsLeaving reports whether an upstream said that it is about to end.
+// IsLeaving reports whether the upstream announced that it is shutting down.
 func (h *Hold) IsLeaving(now time.Time, u *vaneyoke.Upstream) bool {
-	return h != nil && now.Before(h.LeavingEnds) && h.binds(u)
+	return h != nil && now.Before(h.LeavingEnds) && h.appliesTo(u)
 }
 
-// binds reports whether the hold is of the upstream's life as it is listed; a list may be older than what the upstream told itself.
-func (h *Hold) binds(u *vaneyoke.Upstream) bool {
+// appliesTo reports whether the hold applies to the listed incarnation of the upstream. The list may be older than the upstream's own signal, so
+// the hold also applies to earlier incarnations.
+func (h *Hold) appliesTo(u *vaneyoke.Upstream) bool {
 	return h.URL == u.URL && (h.Incarnation == 0 || u.Incarnation <= h.Incarnation)
 }
 
-// ends returns when the upstream may get something again.
-func (h *Hold) ends() time.Time { return later(h.PushbackEnds, h.LeavingEnds) }
+// until returns when the upstream may get requests again.
+func (h *Hold) until() time.Time { return later(h.PushbackEnds, h.LeavingEnds) }
 
-// extend takes in what the upstream said; of two times the one that ends later counts.
+// extend applies a signal; a hold is only ever prolonged.
 func (h *Hold) extend(now time.Time, signal Signal) {
 	if signal.Pushback > 0 {
-		h.PushbackEnds = later(h.PushbackEnds, now.Add(kept(signal.Pushback)))
+		h.PushbackEnds = later(h.PushbackEnds, now.Add(effectivePushback(signal.Pushback)))
 	}
 	if signal.Leaving {
-		h.LeavingEnds = later(h.LeavingEnds, now.Add(drains))
+		h.LeavingEnds = later(h.LeavingEnds, now.Add(shutdownHold))
 	}
 }
 
-// kept returns how long a pushback that was asked for lasts.
-func kept(asked time.Duration) time.Duration {
-	if asked > longest {
-		return assumed
+// effectivePushback returns how long a requested pushback is honoured.
+func effectivePushback(requested time.Duration) time.Duration {
+	if requested > maxPushback {
+		return defaultPushback
 	}
-	return asked
+	return requested
 }
 
 func later(a, b time.Time) time.Time {
--- a/shell/pushbacks/node_test.go
+++ b/shell/pushbacks/node_test.go
@@ -23,7 +23,7 @@
 	log.SetOutput(&lines)
 	log.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true})
 	now := time.Unix(1000, 0)
-	holds := &book{book: pushback.NewBook(), now: now}
+	holds := &book{book: pushback.NewTracker(), now: now}
 	n := pushbacks.New(holds, new(expvar.Map).Init(), log)
 	u := vaneyoke.Upstream{ID: "u1", URL: "http://u1", Incarnation: 5}
 	sending := func(after time.Duration, kind forward.Kind) {
@@ -56,15 +56,15 @@
 
 // book decides by what upstreams said alone.
 type book struct {
-	book *pushback.Book
+	book *pushback.Tracker
 	now  time.Time
 	life vaneyoke.Upstream // that said something last
 }
 
 func (b *book) Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
 	b.life = signal.Upstream
-	h, before := b.book.Note(b.now, signal)
+	h, before := b.book.Record(b.now, signal)
 	return *h, before, true
 }
 
-func (b *book) IsHeld(id vaneyoke.UpstreamID) bool { return b.book.Of(id).At(b.now, &b.life) }
+func (b *book) IsHeld(id vaneyoke.UpstreamID) bool { return b.book.Hold(id).Active(b.now, &b.life) }
