--- a/api/operatorapi/upstreams.go
+++ b/api/operatorapi/upstreams.go
@@ -52,7 +52,7 @@
 	}
 	out := &upstreamList{}
 	out.Body.Upstreams = lo.Map(a.loads.Loads(), func(l placement.Load, _ int) UpstreamLoad {
-		return UpstreamLoad{Upstream: l.Upstream, InFlight: l.InFlight, Open: l.Open, Drained: l.Drained}
+		return UpstreamLoad{Upstream: l.Upstream, InFlight: l.InFlight, Open: l.BreakerOpen, Drained: l.Drained}
 	})
 	return out, nil
 }
--- a/decide/gossip/fleet_test.go
+++ b/decide/gossip/fleet_test.go
@@ -68,7 +68,7 @@
 	for _, effect := range m.gossip.Handle(f.now, ev) {
 		switch e := effect.(type) {
 		case gossip.Believe:
-			m.placer.Heard(f.now, e.Sighting.Upstream, e.Sighting.Kind)
+			m.placer.RecordGossip(f.now, e.Sighting.Upstream, e.Sighting.Kind)
 		case gossip.Send:
 			f.send(i, e)
 		}
@@ -134,7 +134,7 @@
 				m := f.nodes[i]
 				calls++
 				once := f.rng.Float64() < 0.6
-				u, _, ok := m.placer.Pick(f.now, f.rng, placement.Need{Kind: vaneyoke.KindService, Service: "shop", Once: once})
+				u, _, ok := m.placer.Pick(f.now, f.rng, placement.Need{Kind: vaneyoke.KindService, Service: "shop", AtMostOnce: once})
 				must.True(t, ok)
 				m.placer.Sent(f.now, u.ID)
 				if down && u.ID == "u0" {
@@ -218,7 +218,7 @@
 		}
 		for i, m := range f.nodes {
 			for _, load := range m.placer.Loads(time.Time{}) {
-				must.False(t, load.Open, must.Sprint(i, load.Upstream.ID))
+				must.False(t, load.BreakerOpen, must.Sprint(i, load.Upstream.ID))
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 	opened := func() (n int) {
 		for _, m := range f.nodes {
 			for _, load := range m.placer.Loads(time.Time{}) {
-				if load.Open {
+				if load.BreakerOpen {
 					n++
 				}
 			}
--- a/decide/placement/affinity.go
+++ b/decide/placement/affinity.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	homes       = 4                      // upstreams that a prompt may be sent to for its affinity
-	spares      = 8                      // others that are asked for their reports where each home has prompts to read
-	holders     = 2 * homes              // upstreams at which a prompt is looked for, because the first ones may have taken no work
-	reportHolds = 400 * time.Millisecond // for which a report counts
-	// roomShare is the share of an upstream's memory up to which it is given prompts: runs grow, and replicas take the rest. Of 75 engines on
-	// which memory was short 0.85 served more in time than 0.75.
-	roomShare = 0.85
+	affinityUpstreams  = 4                      // upstreams that a prompt may be sent to by its affinity
+	spilloverUpstreams = 8                      // random others that are asked for load reports if all of these are busy
+	promptHolders      = 2 * affinityUpstreams  // upstreams that are searched for a prompt, since the first ones may not have taken work
+	reportTTL          = 400 * time.Millisecond // how long a load report is used
+	// maxMemoryShare is the share of an upstream's memory up to which it gets prompts; the rest is for growing runs and replicas. On 75 engines
+	// short of memory, 0.85 served more requests in time than 0.75.
+	maxMemoryShare = 0.85
 )
 
-// affine returns the one of a prompt's homes that works on the fewest runs, among those that have room, do not wait for a first
-// token and turned nothing away of late; nil for none. The homes are the upstreams with the highest hash of prompt and id, the same on every node: a
-// prompt that comes again, on whatever node, finds where it was read before. A prompt slows each run beside it, and whoever
-// is slowed is under way for longer when something fails.
-func affine(now time.Time, need Need, candidates []*entry) *entry {
+// bestAffinity returns, of a prompt's affinity upstreams, the one with the fewest runs among those that have room, have no prompt waiting for its
+// first token and rejected nothing recently; nil if there is none. The affinity upstreams are those with the highest hash of prompt and upstream ID
+// (rendezvous hashing), the same on every node, so that a repeated prompt finds the upstream that has it cached. Reading a prompt slows the other
+// runs on its upstream, and slower runs are more often hit by a failure.
+func bestAffinity(now time.Time, need Need, candidates []*entry) *entry {
 	var chosen *entry
-	for _, e := range byHash(need.Affinity, candidates, homes) {
-		if e.waiting > 0 || e.reportedBusy(now) || e.declines.ofLate(now) || !e.hasRoom(now, need) {
+	for _, e := range topByHash(need.Affinity, candidates, affinityUpstreams) {
+		if e.awaitingFirstToken > 0 || e.reportsQueue(now) || e.declines.isRecent(now) || !e.hasRoom(now, need) {
 			continue
 		}
 		if chosen == nil || e.runs(now) < chosen.runs(now) {
@@ -39,143 +39,143 @@
 	return chosen
 }
 
-// Homes returns the upstreams of which one is to get a prompt, so that they can be asked for their reports; not those that name a limit,
-// which questions would use up.
-func (s *State) Homes(now time.Time, need Need) []vaneyoke.Upstream {
-	return lo.FilterMap(byHash(need.Affinity, s.mayGet(now, need), homes), func(e *entry, _ int) (vaneyoke.Upstream, bool) {
+// AffinityUpstreams returns the upstreams that a prompt's affinity selects, so that they can be asked for load reports. Upstreams with a declared
+// limit are left out, because queries would count against it.
+func (s *State) AffinityUpstreams(now time.Time, need Need) []vaneyoke.Upstream {
+	return lo.FilterMap(topByHash(need.Affinity, s.candidates(now, need), affinityUpstreams), func(e *entry, _ int) (vaneyoke.Upstream, bool) {
 		return e.upstream, !e.limit.Named
 	})
 }
 
-// Spares returns upstreams at random that can be asked for their reports, because each of a prompt's homes has prompts to read
-// or does not say; nil where one is free.
-func (s *State) Spares(now time.Time, rng *rand.Rand, need Need) []vaneyoke.Upstream {
-	candidates := s.mayGet(now, need)
-	if affine(now, need, candidates) != nil {
+// SpilloverUpstreams returns random upstreams to ask for load reports if every affinity upstream of a prompt is busy or did not report; nil if one
+// is free.
+func (s *State) SpilloverUpstreams(now time.Time, rng *rand.Rand, need Need) []vaneyoke.Upstream {
+	candidates := s.candidates(now, need)
+	if bestAffinity(now, need, candidates) != nil {
 		return nil
 	}
-	drawn := make([]vaneyoke.Upstream, 0, spares)
+	sample := make([]vaneyoke.Upstream, 0, spilloverUpstreams)
 	seen := 0
-	for _, e := range candidates { // each of those that qualify is drawn with the same chance, whatever their number
-		if e.told(now) || e.limit.Named {
+	for _, e := range candidates { // reservoir sampling: each one that qualifies has the same chance
+		if e.hasFreshReport(now) || e.limit.Named {
 			continue
 		}
 		seen++
-		if len(drawn) < spares {
-			drawn = append(drawn, e.upstream)
-		} else if at := rng.IntN(seen); at < spares {
-			drawn[at] = e.upstream
+		if len(sample) < spilloverUpstreams {
+			sample = append(sample, e.upstream)
+		} else if i := rng.IntN(seen); i < spilloverUpstreams {
+			sample[i] = e.upstream
 		}
 	}
-	return drawn
+	return sample
 }
 
-// leastTold returns, of the upstreams that told of their work, and of those that have room where there are any, the one with
-// the least to read, then with the least in memory, then with the fewest runs; nil where none has told.
-func leastTold(now time.Time, need Need, candidates []*entry) *entry {
-	told := lo.Filter(candidates, func(e *entry, _ int) bool { return e.told(now) && !e.declines.ofLate(now) })
-	if roomy := lo.Filter(told, func(e *entry, _ int) bool { return e.hasRoom(now, need) }); len(roomy) > 0 {
-		told = roomy
+// leastReportedLoad returns the upstream with the fewest queued prompts, then the least memory in use, then the fewest runs, among those with a
+// fresh report; those with room are preferred. It returns nil if there is no fresh report.
+func leastReportedLoad(now time.Time, need Need, candidates []*entry) *entry {
+	reporting := lo.Filter(candidates, func(e *entry, _ int) bool { return e.hasFreshReport(now) && !e.declines.isRecent(now) })
+	if withRoom := lo.Filter(reporting, func(e *entry, _ int) bool { return e.hasRoom(now, need) }); len(withRoom) > 0 {
+		reporting = withRoom
 	}
-	return lo.MinBy(told, func(a, b *entry) bool {
+	return lo.MinBy(reporting, func(a, b *entry) bool {
 		return cmp.Or(
-			cmp.Compare(a.prompts(), b.prompts()), cmp.Compare(a.reported.Used, b.reported.Used), cmp.Compare(a.runs(now), b.runs(now)),
+			cmp.Compare(a.queuedPrompts(), b.queuedPrompts()), cmp.Compare(a.report.Used, b.report.Used), cmp.Compare(a.runs(now), b.runs(now)),
 		) < 0
 	})
 }
 
-// HasRoom reports whether an upstream that may get a prompt has room for it, as far as upstreams told of their memory; a prompt that goes
-// to none of them displaces runs or replicas.
+// HasRoom reports whether any candidate for a prompt has room for it according to its load report, or none has a fresh report. A prompt sent to an
+// upstream without room displaces runs or replicas.
 func (s *State) HasRoom(now time.Time, need Need) bool {
-	anyTold := false
-	for _, e := range s.mayGet(now, need) {
-		if e.told(now) {
+	anyReported := false
+	for _, e := range s.candidates(now, need) {
+		if e.hasFreshReport(now) {
 			if e.hasRoom(now, need) {
 				return true
 			}
-			anyTold = true
+			anyReported = true
 		}
 	}
-	return !anyTold
+	return !anyReported
 }
 
-// hasRoom reports whether the upstream's memory has room for a prompt beside those that it has still to read, which are taken to be as
-// long, and for what runs grow by; true where it did not tell, and where it has nothing else to do.
+// hasRoom reports whether the upstream's memory has room for a prompt besides its queued ones, which are taken to be as long, and for the growth
+// of runs. It is true if there is no fresh report of its memory, and if it is idle.
 func (e *entry) hasRoom(now time.Time, need Need) bool {
-	if !e.told(now) || e.reported.Size == 0 || (e.reported.Used == 0 && e.prompts() == 0) {
+	if !e.hasFreshReport(now) || e.report.Size == 0 || (e.report.Used == 0 && e.queuedPrompts() == 0) {
 		return true
 	}
-	wanted := int(e.reported.Used) + (e.prompts()+1)*need.Bytes
-	return float64(wanted) <= roomShare*float64(e.reported.Size)
+	wanted := int(e.report.Used) + (e.queuedPrompts()+1)*need.PromptBytes
+	return float64(wanted) <= maxMemoryShare*float64(e.report.Size)
 }
 
-// prompts returns how many prompts the upstream has to read.
-func (e *entry) prompts() int { return max(e.reported.Prompts, e.waiting) }
+// queuedPrompts returns how many prompts the upstream has yet to read.
+func (e *entry) queuedPrompts() int { return max(e.report.Prompts, e.awaitingFirstToken) }
 
-// Holders returns the upstreams that may keep a prompt, because it is sent to them for its affinity.
-func (s *State) Holders(now time.Time, need Need) []vaneyoke.Upstream {
-	candidates := lo.Filter(s.order, func(e *entry, _ int) bool {
-		return e.takesWork(now) && offers(&e.upstream, need) && s.suits(need, e, false) && !e.limit.Named
+// PromptHolders returns the upstreams that may have a prompt in memory, because its affinity selects them.
+func (s *State) PromptHolders(now time.Time, need Need) []vaneyoke.Upstream {
+	candidates := lo.Filter(s.sorted, func(e *entry, _ int) bool {
+		return e.takesWork(now) && offers(&e.upstream, need) && s.matchesSplit(need, e, false) && !e.limit.Named
 	})
-	return lo.Map(byHash(need.Affinity, candidates, holders), func(e *entry, _ int) vaneyoke.Upstream { return e.upstream })
+	return lo.Map(topByHash(need.Affinity, candidates, promptHolders), func(e *entry, _ int) vaneyoke.Upstream { return e.upstream })
 }
 
-// Reported notes what an upstream told of its work.
+// Reported records a load report of an upstream.
 func (s *State) Reported(now time.Time, id vaneyoke.UpstreamID, report vaneyoke.Report) {
 	e, ok := s.entries[id]
-	if !ok || (report.Incarnation != 0 && report.Incarnation < e.upstream.Incarnation) { // of an earlier life
+	if !ok || (report.Incarnation != 0 && report.Incarnation < e.upstream.Incarnation) { // of an earlier incarnation
 		return
 	}
 	if report.Incarnation > e.upstream.Incarnation {
 		if e.upstream.Incarnation != 0 {
-			s.reborn(e)
+			s.resetAfterRestart(e)
 		}
 		e.upstream.Incarnation = report.Incarnation
 	}
-	e.reported, e.reportedAt = report, now
+	e.report, e.reportedAt = report, now
 }
 
-// told reports whether the upstream told of its work a short while ago.
-func (e *entry) told(now time.Time) bool { return now.Sub(e.reportedAt) < reportHolds }
+// hasFreshReport reports whether the latest load report is recent enough to use.
+func (e *entry) hasFreshReport(now time.Time) bool { return now.Sub(e.reportedAt) < reportTTL }
 
-// runs returns how many runs the upstream works on; one that said nothing of late is taken for one that has some.
+// runs returns how many runs the upstream works on; without a fresh report it assumes at least one.
 func (e *entry) runs(now time.Time) int {
-	if e.told(now) {
-		return max(e.reported.Runs, e.inFlight)
+	if e.hasFreshReport(now) {
+		return max(e.report.Runs, e.inFlight)
 	}
 	return max(e.inFlight, 1)
 }
 
-// reportedBusy reports whether the upstream said a short while ago that it has prompts to read.
-func (e *entry) reportedBusy(now time.Time) bool {
-	return e.reported.Prompts > 0 && e.told(now)
+// reportsQueue reports whether a fresh report shows queued prompts.
+func (e *entry) reportsQueue(now time.Time) bool {
+	return e.report.Prompts > 0 && e.hasFreshReport(now)
 }
 
-// ranked is a candidate and its hash for a prompt.
+// ranked is a candidate and its rendezvous hash.
 type ranked struct {
 	entry *entry
 	hash  uint64
 }
 
-// byHash returns the most of the candidates with the highest hash of prompt and id, the highest first. It keeps no more than these, since there
-// may be many thousands of candidates.
-func byHash(prompt string, candidates []*entry, most int) []*entry {
-	if most <= 0 {
+// topByHash returns up to limit candidates with the highest hash of affinity and ID, highest first. It keeps no more than these in memory, since
+// there may be many thousands of candidates.
+func topByHash(affinity string, candidates []*entry, limit int) []*entry {
+	if limit <= 0 {
 		return nil
 	}
-	key := rendezvous.Of(prompt)
-	top := make([]ranked, 0, most+1)
+	key := rendezvous.Of(affinity)
+	top := make([]ranked, 0, limit+1)
 	for _, e := range candidates {
 		hash := key.Score(string(e.upstream.ID))
-		if len(top) == most && hash <= top[most-1].hash {
+		if len(top) == limit && hash <= top[limit-1].hash {
 			continue
 		}
-		at := len(top)
-		for at > 0 && top[at-1].hash < hash {
-			at--
+		i := len(top)
+		for i > 0 && top[i-1].hash < hash {
+			i--
 		}
-		top = slices.Insert(top, at, ranked{entry: e, hash: hash})
-		top = top[:min(len(top), most)]
+		top = slices.Insert(top, i, ranked{entry: e, hash: hash})
+		top = top[:min(len(top), limit)]
 	}
 	return lo.Map(top, func(r ranked, _ int) *entry { return r.entry })
 }
--- a/decide/placement/opaque_test.go
+++ b/decide/placement/affinity_test.go
@@ -13,7 +13,7 @@
 	"github.com/vaneyoke/vaneyoke/decide/retry"
 )
 
-var need = placement.Need{Kind: vaneyoke.KindService, Service: "lm", Bytes: 1000}
+var need = placement.Need{Kind: vaneyoke.KindService, Service: "lm", PromptBytes: 1000}
 
 // threeDataCentres returns a state of nine upstreams in three data centres.
 func threeDataCentres() *placement.State { return threeDataCentresSeenFrom("a") }
@@ -33,8 +33,8 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// TestPromptHasAHome picks the same upstream for a prompt on every node, and spreads prompts over all.
-func TestPromptHasAHome(t *testing.T) {
+// TestAffinityIsTheSameOnEveryNode picks the same upstream for a prompt on every node, and spreads prompts over all upstreams.
+func TestAffinityIsTheSameOnEveryNode(t *testing.T) {
 	now := time.Unix(1000, 0)
 	one, other := threeDataCentres(), threeDataCentres()
 	counts := map[vaneyoke.UpstreamID]int{}
@@ -52,17 +52,17 @@
 	}
 }
 
-// TestBusyHomeIsPassedOver goes to the next home where the first owes a first token.
-func TestBusyHomeIsPassedOver(t *testing.T) {
+// TestBusyAffinityUpstreamIsSkipped picks the next affinity upstream while a prompt waits for its first token at the first one.
+func TestBusyAffinityUpstreamIsSkipped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := need
 	wanted.Affinity = "prompt"
 	s := threeDataCentres()
-	home, _, _ := s.Pick(now, rng(), wanted)
-	s.Sent(now, home.ID)
+	first, _, _ := s.Pick(now, rng(), wanted)
+	s.Sent(now, first.ID)
 	next, _, ok := s.Pick(now, rng(), wanted)
 	must.True(t, ok)
-	must.NotEqOp(t, home.ID, next.ID)
+	must.NotEqOp(t, first.ID, next.ID)
 }
 
 func TestReplicaIsInAnotherDataCentre(t *testing.T) {
@@ -77,22 +77,22 @@
 		counts[u.ID]++
 	}
 	for id, n := range counts {
-		must.Between(t, 6, n, 14, must.Sprint(id)) // the one that keeps the least is taken
+		must.Between(t, 6, n, 14, must.Sprint(id)) // the one with the least memory in use is picked
 	}
 	s.SetUpstreams([]vaneyoke.Upstream{{ID: "a0", Kind: need.Kind, Service: "lm", DataCentre: "a", State: vaneyoke.StateLive}})
 	_, ok := s.PickReplica(now, r, need, vaneyoke.Upstream{ID: "a0", DataCentre: "a"})
 	must.False(t, ok)
 }
 
-// TestHoldersOfAPrompt has nodes in two data centres choose upstreams for prompts, also where the first choices take no work;
-// another node, that knows of none of it, finds them among the holders.
-func TestHoldersOfAPrompt(t *testing.T) {
+// TestPromptHoldersIncludeEveryChoice has nodes in two data centres pick upstreams for prompts, also after their first choices take no work. A node
+// that has seen none of this must find each picked upstream among the prompt's holders.
+func TestPromptHoldersIncludeEveryChoice(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for n := range 200 {
 		wanted := need
 		wanted.Affinity = fmt.Sprint("prompt", n)
 		var holders []vaneyoke.UpstreamID
-		for _, u := range threeDataCentresSeenFrom("c").Holders(now, wanted) {
+		for _, u := range threeDataCentresSeenFrom("c").PromptHolders(now, wanted) {
 			holders = append(holders, u.ID)
 		}
 		must.Len(t, 8, holders)
@@ -109,8 +109,9 @@
 	}
 }
 
-// TestUpstreamWhoseAddressAnotherHas gets nothing more, whatever else is left.
-func TestUpstreamWhoseAddressAnotherHas(t *testing.T) {
+// TestGoneUpstreamIsNotPicked has another upstream answer at the address of the only upstream: unlike an unreachable one, it is not used as the
+// last resort.
+func TestGoneUpstreamIsNotPicked(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := placement.New("a", retry.DefaultBreakerConfig())
 	s.SetUpstreams([]vaneyoke.Upstream{{ID: "a0", Kind: need.Kind, Service: "lm", DataCentre: "a", State: vaneyoke.StateLive}})
@@ -124,13 +125,13 @@
 	must.False(t, ok)
 }
 
-// TestUnknownUpstreamIsTried starts with one upstream that is known to be fast and one that is not known.
+// TestUnknownUpstreamIsTried starts with one upstream that is known to be fast and others without any sample.
 func TestUnknownUpstreamIsTried(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := threeDataCentres()
 	for range 10 {
 		s.Sent(now, "a0")
-		s.FirstToken(now, "a0", time.Millisecond, need.Bytes)
+		s.FirstToken(now, "a0", time.Millisecond, need.PromptBytes)
 		s.Ended(now, "a0", placement.OutcomeDone, true)
 	}
 	others := 0
@@ -144,7 +145,7 @@
 	must.Positive(t, others)
 }
 
-func TestPreferredUpstreamIsTakenWhereItTakesWork(t *testing.T) {
+func TestPreferredUpstreamIsPickedWhileItTakesWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := threeDataCentres()
 	wanted := need
@@ -158,7 +159,7 @@
 	must.NotEqOp(t, "c2", u.ID)
 }
 
-// TestReplicaIsFoundUnderANewID replaces the engine that was to keep a replica; the one at its address has the replica.
+// TestReplicaIsFoundUnderANewID replaces the engine that was to keep a replica: the one now at its address has the replica.
 func TestReplicaIsFoundUnderANewID(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := threeDataCentres()
@@ -171,9 +172,9 @@
 	must.False(t, ok)
 }
 
-// TestPromptGoesToTheHomeWithTheFewestRuns has a prompt's homes tell how many runs they work on; what they told a while ago,
-// and what this node has sent since, count too.
-func TestPromptGoesToTheHomeWithTheFewestRuns(t *testing.T) {
+// TestPromptGoesToAffinityUpstreamWithFewestRuns has a prompt's affinity upstreams report how many runs they work on. Attempts that this node has
+// sent since count too, and old reports do not.
+func TestPromptGoesToAffinityUpstreamWithFewestRuns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := need
 	wanted.Affinity = "prompt"
@@ -183,41 +184,41 @@
 		return u.ID
 	}
 	s := threeDataCentres()
-	homes := s.Homes(now, wanted)
-	must.Len(t, 4, homes)
-	must.EqOp(t, homes[0].ID, pick(s, now)) // nobody has told anything
-	for i, home := range homes {
-		s.Reported(now, home.ID, vaneyoke.Report{Runs: 5 - i})
+	upstreams := s.AffinityUpstreams(now, wanted)
+	must.Len(t, 4, upstreams)
+	must.EqOp(t, upstreams[0].ID, pick(s, now)) // no reports yet
+	for i, upstream := range upstreams {
+		s.Reported(now, upstream.ID, vaneyoke.Report{Runs: 5 - i})
 	}
-	must.EqOp(t, homes[3].ID, pick(s, now))
-	s.Reported(now, homes[3].ID, vaneyoke.Report{Prompts: 1, Runs: 1})
-	must.EqOp(t, homes[2].ID, pick(s, now)) // the other reads a prompt
+	must.EqOp(t, upstreams[3].ID, pick(s, now))
+	s.Reported(now, upstreams[3].ID, vaneyoke.Report{Prompts: 1, Runs: 1})
+	must.EqOp(t, upstreams[2].ID, pick(s, now)) // the other one is reading a prompt
 	for range 4 {
-		s.Sent(now, homes[2].ID)
-		s.FirstToken(now, homes[2].ID, unitOfTime, 0)
+		s.Sent(now, upstreams[2].ID)
+		s.FirstToken(now, upstreams[2].ID, anyDuration, 0)
 	}
-	must.EqOp(t, homes[1].ID, pick(s, now)) // has four runs, as the other has by now
-	must.EqOp(t, homes[0].ID, pick(s, now.Add(time.Second)), must.Sprint("by reports of old"))
+	must.EqOp(t, upstreams[1].ID, pick(s, now)) // four runs, as the other one has by now
+	must.EqOp(t, upstreams[0].ID, pick(s, now.Add(time.Second)), must.Sprint("the reports are too old"))
 }
 
-// unitOfTime stands for a first token that says nothing.
-const unitOfTime = time.Millisecond
+// anyDuration is a time to the first token whose value does not matter.
+const anyDuration = time.Millisecond
 
-// TestHomesTakeWork leaves upstreams that take no work, and those that lost this answer, out of a prompt's homes.
-func TestHomesTakeWork(t *testing.T) {
+// TestAffinityUpstreamsTakeWork leaves out upstreams that take no work and those that the request avoids after a failure.
+func TestAffinityUpstreamsTakeWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := threeDataCentres()
 	wanted := need
 	wanted.Affinity = "prompt"
-	before := s.Homes(now, wanted)
+	before := s.AffinityUpstreams(now, wanted)
 	wanted.Avoid = []vaneyoke.UpstreamID{before[0].ID}
 	s.Sent(now, before[1].ID)
 	s.Ended(now, before[1].ID, placement.OutcomeUnreachable, false)
-	after := s.Homes(now, wanted)
+	after := s.AffinityUpstreams(now, wanted)
 	must.Len(t, 4, after)
 	must.EqOp(t, before[2].ID, after[0].ID)
-	for _, home := range after {
-		must.NotEqOp(t, before[0].ID, home.ID)
-		must.NotEqOp(t, before[1].ID, home.ID)
+	for _, upstream := range after {
+		must.NotEqOp(t, before[0].ID, upstream.ID)
+		must.NotEqOp(t, before[1].ID, upstream.ID)
 	}
 }
--- a/decide/placement/once_test.go
+++ b/decide/placement/at_most_once_test.go
@@ -10,23 +10,23 @@
 	"github.com/vaneyoke/vaneyoke/decide/gossip"
 )
 
-// TestCallsThatRunOnceDoNotTryAnUpstream lets none of them to an upstream whose breaker lets a trial through, unless nobody else has made
-// one for long.
-func TestCallsThatRunOnceDoNotTryAnUpstream(t *testing.T) {
+// TestAtMostOnceCallsMakeNoBreakerTrials has an open circuit breaker allow a trial: calls that may be sent only once do not make it, unless no other
+// request has made it for a while.
+func TestAtMostOnceCallsMakeNoBreakerTrials(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := threeDataCentres()
 	for range 3 {
-		s.Heard(now, "a0", gossip.KindLost)
+		s.RecordGossip(now, "a0", gossip.KindLost)
 	}
 	now = now.Add(time.Second)
-	once, other := need, need
-	once.Once = true
+	atMostOnce, retriable := need, need
+	atMostOnce.AtMostOnce = true
 	tried := false
 	for range 200 {
-		u, _, ok := s.Pick(now, rng(), once)
+		u, _, ok := s.Pick(now, rng(), atMostOnce)
 		must.True(t, ok)
 		must.NotEqOp(t, "a0", u.ID)
-		u, _, _ = s.Pick(now, rand.New(rand.NewPCG(uint64(now.Nanosecond()), 1)), other)
+		u, _, _ = s.Pick(now, rand.New(rand.NewPCG(uint64(now.Nanosecond()), 1)), retriable)
 		tried = tried || u.ID == "a0"
 		now = now.Add(time.Millisecond)
 	}
@@ -34,9 +34,9 @@
 	now = now.Add(3 * time.Second)
 	tried = false
 	for range 200 {
-		u, _, _ := s.Pick(now, rand.New(rand.NewPCG(uint64(now.Nanosecond()), 1)), once)
+		u, _, _ := s.Pick(now, rand.New(rand.NewPCG(uint64(now.Nanosecond()), 1)), atMostOnce)
 		tried = tried || u.ID == "a0"
 		now = now.Add(time.Millisecond)
 	}
-	must.True(t, tried, must.Sprint("nobody else has found out"))
+	must.True(t, tried, must.Sprint("no other request has made the trial"))
 }
--- a/decide/placement/declined.go
+++ b/decide/placement/declined.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// declineFades is the time in which half of an upstream's refusals are forgotten.
-const declineFades = time.Second
+// declineHalfLife is the time in which the count of an upstream's rejections halves.
+const declineHalfLife = time.Second
 
-// declines counts the requests that an upstream turned away of late. They count as work there: a refusal says that the upstream has enough to do,
-// and is quicker than any answer.
+// declines is a decaying count of the requests that an upstream rejected. It is added to the upstream's load: a rejection shows that the upstream
+// is overloaded, and is quicker than any answer, so that the upstream would otherwise look idle.
 type declines struct {
-	count float64 // as of at
-	at    time.Time
+	count     float64 // as of updatedAt
+	updatedAt time.Time
 }
 
 func (d *declines) add(now time.Time) {
-	d.count = d.of(now) + 1
-	d.at = now
+	d.count = d.decayed(now) + 1
+	d.updatedAt = now
 }
 
-// of returns how many of the refusals have not been forgotten by now.
-func (d *declines) of(now time.Time) float64 {
+// decayed returns the count after its decay until now.
+func (d *declines) decayed(now time.Time) float64 {
 	if d.count == 0 {
 		return 0
 	}
-	return d.count * math.Exp2(-max(now.Sub(d.at).Seconds(), 0)/declineFades.Seconds())
+	return d.count * math.Exp2(-max(now.Sub(d.updatedAt).Seconds(), 0)/declineHalfLife.Seconds())
 }
 
-// ofLate reports whether the upstream has turned something away in the time in which half of that is forgotten.
-func (d *declines) ofLate(now time.Time) bool { return d.of(now) >= 0.5 }
+// isRecent reports whether the upstream has rejected a request within the half-life.
+func (d *declines) isRecent(now time.Time) bool { return d.decayed(now) >= 0.5 }
--- a/decide/placement/declined_test.go
+++ b/decide/placement/declined_test.go
@@ -11,16 +11,16 @@
 	"github.com/vaneyoke/vaneyoke/decide/placement"
 )
 
-// TestUpstreamThatDeclinesIsNotPreferred has one of three upstreams decline all calls at once, without asking for anything. It had the least work and
-// the oldest first token, so that it looked best, and got more calls than the two that answered together.
+// TestUpstreamThatDeclinesIsNotPreferred has one of three upstreams reject all calls immediately, without a pushback. It had the least work and the
+// oldest sample of the time to the first token, so that it looked best and got more calls than the other two together.
 func TestUpstreamThatDeclinesIsNotPreferred(t *testing.T) {
-	const calls, pause, work = 200, 120 * time.Millisecond, 15 * time.Millisecond
+	const calls, pause, duration = 200, 120 * time.Millisecond, 15 * time.Millisecond
 	now, rng := time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2))
 	call := placement.Need{Kind: vaneyoke.KindService, Service: "shop"}
 	s := limitedState("u0", "u1", "u2")
-	for _, id := range []vaneyoke.UpstreamID{"u0", "u1", "u2"} { // all have been known for a while
+	for _, id := range []vaneyoke.UpstreamID{"u0", "u1", "u2"} { // all have a sample of the time to the first token
 		s.Sent(now, id)
-		s.FirstToken(now, id, work, 0)
+		s.FirstToken(now, id, duration, 0)
 		s.Ended(now, id, placement.OutcomeDone, true)
 	}
 	got := map[vaneyoke.UpstreamID]int{}
@@ -34,16 +34,16 @@
 			s.Ended(now.Add(time.Millisecond), u.ID, placement.OutcomeDeclined, false)
 			return
 		}
-		s.FirstToken(now.Add(work), u.ID, work, 0)
-		s.Ended(now.Add(work), u.ID, placement.OutcomeDone, true)
+		s.FirstToken(now.Add(duration), u.ID, duration, 0)
+		s.Ended(now.Add(duration), u.ID, placement.OutcomeDone, true)
 	}
 	for range calls {
 		send()
 		now = now.Add(pause)
 	}
-	t.Logf("the one that declines got %d of %d calls", got["u0"], calls)
+	t.Logf("the upstream that rejects calls got %d of %d", got["u0"], calls)
 	must.LessEq(t, calls/10, got["u0"])
-	must.Positive(t, got["u0"]) // it is tried again now and then
+	must.Positive(t, got["u0"]) // it is still tried now and then
 
 	declines = func(vaneyoke.UpstreamID) bool { return false }
 	clear(got)
@@ -51,10 +51,10 @@
 		send()
 		now = now.Add(pause)
 	}
-	must.GreaterEq(t, calls/5, got["u0"]) // of an even share of a third
+	must.GreaterEq(t, calls/5, got["u0"]) // an even share would be a third
 }
 
-// TestAllDecline has all upstreams decline: each is tried as often as the others.
+// TestAllDecline has all upstreams reject calls: each is tried as often as the others.
 func TestAllDecline(t *testing.T) {
 	now, rng := time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2))
 	call := placement.Need{Kind: vaneyoke.KindService, Service: "shop"}
@@ -73,22 +73,22 @@
 	}
 }
 
-// TestHomeThatDeclinesIsPassedOver has the upstream decline that a prompt goes to: the next one gets it until a while has passed.
-func TestHomeThatDeclinesIsPassedOver(t *testing.T) {
+// TestDecliningAffinityUpstreamIsSkipped has the upstream that a prompt goes to reject it: other upstreams get it for about a second.
+func TestDecliningAffinityUpstreamIsSkipped(t *testing.T) {
 	now := time.Unix(1000, 0)
-	prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", Bytes: 100}
+	prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", PromptBytes: 100}
 	s := limitedState("u0", "u1", "u2", "u3", "u4")
-	home, _, _ := s.Pick(now, rng(), prompt)
+	first, _, _ := s.Pick(now, rng(), prompt)
 	for _, id := range []vaneyoke.UpstreamID{"u0", "u1", "u2", "u3", "u4"} {
 		s.Reported(now, id, vaneyoke.Report{})
 	}
-	s.Sent(now, home.ID)
-	s.Ended(now, home.ID, placement.OutcomeDeclined, false)
+	s.Sent(now, first.ID)
+	s.Ended(now, first.ID, placement.OutcomeDeclined, false)
 	for range 30 {
 		u, _, ok := s.Pick(now, rng(), prompt)
 		must.True(t, ok)
-		must.NotEqOp(t, home.ID, u.ID)
+		must.NotEqOp(t, first.ID, u.ID)
 	}
 	u, _, _ := s.Pick(now.Add(1100*time.Millisecond), rng(), prompt)
-	must.EqOp(t, home.ID, u.ID)
+	must.EqOp(t, first.ID, u.ID)
 }
--- a/decide/placement/estimate.go
+++ b/decide/placement/estimate.go
@@ -3,59 +3,60 @@
 import "time"
 
 const (
-	firstWeight  = 0.2              // weight of the newest first token in the moving means
-	promptBase   = 4 << 10          // bytes that stand for what a first token costs beside its prompt
-	forgetAfter  = 10 * time.Second // age at which half of what is known of an upstream has been forgotten
-	unknownFirst = 20 * time.Millisecond
+	ewmaWeight          = 0.2              // weight of the newest sample in the moving averages
+	promptOverheadBytes = 4 << 10          // fixed cost of a first token, in bytes of prompt
+	estimateHalfLife    = 10 * time.Second // age at which an estimate counts half
+	defaultFirstToken   = 20 * time.Millisecond
 )
 
-// estimate follows how long an upstream takes to the first token.
-// It falls with time, so that an upstream that was slow is tried again.
+// estimate is a moving average of an upstream's time to the first token.
+// It decays over time, so that an upstream that was slow is tried again.
 type estimate struct {
-	mean    float64 // ns, whatever the prompt
-	perByte float64 // ns for each byte of prompt
-	at      time.Time
+	mean      float64 // ns, independent of the prompt
+	perByte   float64 // ns per byte of prompt
+	updatedAt time.Time
 }
 
-// add takes in a first token that came after a while.
-func (e *estimate) add(now time.Time, took time.Duration, promptBytes int) {
-	sample := float64(took)
-	sampleByte := sample / float64(promptBytes+promptBase)
-	if e.at.IsZero() {
-		e.mean, e.perByte = sample, sampleByte
+// add records the time to a first token.
+func (e *estimate) add(now time.Time, elapsed time.Duration, promptBytes int) {
+	sample := float64(elapsed)
+	samplePerByte := sample / float64(promptBytes+promptOverheadBytes)
+	if e.updatedAt.IsZero() {
+		e.mean, e.perByte = sample, samplePerByte
 	} else {
-		kept := e.kept(now)
-		e.mean = moved(e.mean*kept, sample)
-		e.perByte = moved(e.perByte*kept, sampleByte)
+		decay := e.decay(now)
+		e.mean = ewma(e.mean*decay, sample)
+		e.perByte = ewma(e.perByte*decay, samplePerByte)
 	}
-	e.at = now
+	e.updatedAt = now
 }
 
-func moved(mean, sample float64) float64 { return mean + firstWeight*(sample-mean) }
+// ewma returns the exponentially weighted moving average after a sample.
+func ewma(mean, sample float64) float64 { return mean + ewmaWeight*(sample-mean) }
 
-// kept returns the share of the estimate that has not been forgotten by now.
-func (e *estimate) kept(now time.Time) float64 {
-	age := now.Sub(e.at)
+// decay returns the factor by which the estimate has decayed by now.
+func (e *estimate) decay(now time.Time) float64 {
+	age := now.Sub(e.updatedAt)
 	if age <= 0 {
 		return 1
 	}
-	return float64(forgetAfter) / float64(forgetAfter+age)
+	return float64(estimateHalfLife) / float64(estimateHalfLife+age)
 }
 
-// known reports whether any first token has come.
-func (e *estimate) known() bool { return !e.at.IsZero() }
+// known reports whether there has been any sample.
+func (e *estimate) known() bool { return !e.updatedAt.IsZero() }
 
-// expect returns the expected time to a first token, in which waiting counts more than the prompt; usual stands for an
-// upstream of which nothing is known.
-func (e *estimate) expect(now time.Time, usual time.Duration) time.Duration {
+// expected returns the expected time to a first token, or the fallback if there is no sample. It ignores the prompt's size, because queueing
+// matters more.
+func (e *estimate) expected(now time.Time, fallback time.Duration) time.Duration {
 	if !e.known() {
-		return usual
+		return fallback
 	}
-	return time.Duration(e.mean * e.kept(now))
+	return time.Duration(e.mean * e.decay(now))
 }
 
-// patient returns the time to the first token of a prompt that is still to be expected, 0 where nothing is known.
-// It is the longer of two guesses, because taking a long prompt for a silent engine costs more than waiting.
-func (e *estimate) patient(promptBytes int) time.Duration {
-	return time.Duration(max(e.mean, e.perByte*float64(promptBytes+promptBase)))
+// upperBound returns the longest time to the first token that is still normal for a prompt, 0 if there is no sample.
+// It is the larger of two estimates, because mistaking a long prompt for an unresponsive engine costs more than waiting.
+func (e *estimate) upperBound(promptBytes int) time.Duration {
+	return time.Duration(max(e.mean, e.perByte*float64(promptBytes+promptOverheadBytes)))
 }
--- a/decide/placement/large_test.go
+++ b/decide/placement/large_test.go
@@ -14,23 +14,23 @@
 	"github.com/vaneyoke/vaneyoke/decide/retry"
 )
 
-// fleetOf returns so many upstreams of one service.
-func fleetOf(count, life int) []vaneyoke.Upstream {
+// fleetOf returns count upstreams of one service; IDs and addresses differ between generations.
+func fleetOf(count, generation int) []vaneyoke.Upstream {
 	all := make([]vaneyoke.Upstream, count)
 	for i := range all {
 		all[i] = vaneyoke.Upstream{
-			ID: vaneyoke.UpstreamID(fmt.Sprintf("i-%08x-%d", i*2654435761%(1<<32), life)), Kind: vaneyoke.KindService, Service: "lm", DataCentre: "a",
-			URL: fmt.Sprintf("http://10.%d.%d.%d:8044", life, i/250, i%250), State: vaneyoke.StateLive, Slots: 32,
+			ID: vaneyoke.UpstreamID(fmt.Sprintf("i-%08x-%d", i*2654435761%(1<<32), generation)), Kind: vaneyoke.KindService, Service: "lm", DataCentre: "a",
+			URL: fmt.Sprintf("http://10.%d.%d.%d:8044", generation, i/250, i%250), State: vaneyoke.StateLive, Slots: 32,
 		}
 	}
 	return all
 }
 
-// place does what one generation asks of the placement.
+// place makes the calls that the placement of one generation needs.
 func place(s *placement.State, now time.Time, rng *rand.Rand, n int) {
-	prompt := placement.Need{Kind: vaneyoke.KindService, Service: "lm", Affinity: fmt.Sprint("prompt-", n), Bytes: 5000}
-	s.Homes(now, prompt)
-	s.Spares(now, rng, prompt)
+	prompt := placement.Need{Kind: vaneyoke.KindService, Service: "lm", Affinity: fmt.Sprint("prompt-", n), PromptBytes: 5000}
+	s.AffinityUpstreams(now, prompt)
+	s.SpilloverUpstreams(now, rng, prompt)
 	s.HasRoom(now, prompt)
 	_, _, _ = s.Pick(now, rng, prompt)
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestPlacingAGenerationAllocatesLittle places generations among 10,000 upstreams: what is allocated for one does not grow with the fleet.
+// TestPlacingAGenerationAllocatesLittle places generations among 10,000 upstreams: the memory allocated per generation does not grow with the fleet.
 func TestPlacingAGenerationAllocatesLittle(t *testing.T) {
 	const placed = 50
 	bytesFor := func(count int) uint64 {
@@ -79,7 +79,8 @@
 	must.LessEq(t, 2*bytesFor(100), bytesFor(10_000))
 }
 
-// TestReplacingAllGrowsWithTheirNumber replaces all upstreams at once, as a data centre that comes back does: eight times as many take some eight times as long, not the square of it.
+// TestReplacingAllGrowsWithTheirNumber replaces all upstreams at once, as after the recovery of a data centre: eight times as many take about eight
+// times as long, not 64 times.
 func TestReplacingAllGrowsWithTheirNumber(t *testing.T) {
 	shortest := func(count int) time.Duration {
 		before, after := fleetOf(count, 1), fleetOf(count, 2)
--- a/decide/placement/limited.go
+++ b/decide/placement/limited.go
@@ -6,7 +6,7 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// SetLimit takes in that an upstream names a limit, or none any more.
+// SetLimit sets the rate limit that an upstream declares, or removes it if there is none any more.
 func (s *State) SetLimit(id vaneyoke.UpstreamID, limit vaneyoke.Limit) {
 	delete(s.limits, id)
 	if limit.Named {
@@ -18,45 +18,45 @@
 	}
 	e.limit = limit
 	if !limit.Named {
-		e.withheld, e.turn = time.Time{}, time.Time{}
+		e.limitedUntil, e.lastRetryAt = time.Time{}, time.Time{}
 	}
 }
 
-// Withheld notes that an upstream's limit left an attempt nothing: there may be something after a while, and a caller that gets nothing
-// now is to come back at its turn.
-func (s *State) Withheld(now time.Time, id vaneyoke.UpstreamID, next, turn time.Duration) {
+// LimitReached records that an upstream's rate limit allowed no attempt: the next one may be allowed after next, and callers refused now are to
+// retry after retryAfter.
+func (s *State) LimitReached(now time.Time, id vaneyoke.UpstreamID, next, retryAfter time.Duration) {
 	if e, ok := s.entries[id]; ok {
-		e.withheld, e.turn = now.Add(next), now.Add(turn)
+		e.limitedUntil, e.lastRetryAt = now.Add(next), now.Add(retryAfter)
 	}
 }
 
-// ComeBack returns when a caller is to come back whom no upstream can take because those that could name limits; ok is false where there
-// are none of that kind. Callers are told to come back one after the other, as the limit takes them.
-func (s *State) ComeBack(now time.Time, need Need) (after time.Duration, ok bool) {
-	var first *entry
-	for _, e := range s.order {
-		if e.limit.Named && now.Before(e.withheld) && e.upstream.State == vaneyoke.StateLive && offers(&e.upstream, need) && (first == nil || e.turn.Before(first.turn)) {
-			first = e
+// LimitRetryAfter returns when a caller is to retry if the upstreams that could take its request are at their rate limits; ok is false if there
+// are no such upstreams. Successive callers get times spaced at the limit's rate.
+func (s *State) LimitRetryAfter(now time.Time, need Need) (after time.Duration, ok bool) {
+	var earliest *entry
+	for _, e := range s.sorted {
+		if e.limit.Named && now.Before(e.limitedUntil) && e.upstream.State == vaneyoke.StateLive && offers(&e.upstream, need) && (earliest == nil || e.lastRetryAt.Before(earliest.lastRetryAt)) {
+			earliest = e
 		}
 	}
-	if first == nil {
+	if earliest == nil {
 		return 0, false
 	}
-	after = max(first.turn.Sub(now), first.withheld.Sub(now))
-	first.turn = now.Add(min(after+gap(first.limit.Rate), longestTurn))
+	after = max(earliest.lastRetryAt.Sub(now), earliest.limitedUntil.Sub(now))
+	earliest.lastRetryAt = now.Add(min(after+interval(earliest.limit.Rate), maxRetryAfter))
 	return after, true
 }
 
-// longestTurn is the longest time after which a caller is told to come back, and shortestGap the one between two of them.
+// maxRetryAfter is the longest retry-after time given for a limit, and minInterval the shortest time between those of two callers.
 const (
-	longestTurn = 5 * time.Second
-	shortestGap = time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	minInterval   = time.Millisecond
 )
 
-// gap returns the time between two requests at a rate.
-func gap(rate vaneyoke.PerSecond) time.Duration {
-	if float64(rate)*longestTurn.Seconds() <= 1 {
-		return longestTurn
+// interval returns the time between two requests at a rate.
+func interval(rate vaneyoke.PerSecond) time.Duration {
+	if float64(rate)*maxRetryAfter.Seconds() <= 1 {
+		return maxRetryAfter
 	}
-	return max(time.Duration(float64(time.Second)/float64(rate)), shortestGap)
+	return max(time.Duration(float64(time.Second)/float64(rate)), minInterval)
 }
--- a/decide/placement/limited_test.go
+++ b/decide/placement/limited_test.go
@@ -24,9 +24,9 @@
 
 var limit = vaneyoke.Limit{Named: true, Rate: 2}
 
-// TestWithheldUpstreamsGetNothing has the limits of two of three upstreams leave nothing: requests go to the third; where that names one, too, the
-// callers are told to come back one after the other.
-func TestWithheldUpstreamsGetNothing(t *testing.T) {
+// TestUpstreamsAtTheirLimitGetNothing has two of three upstreams reach their rate limits: requests go to the third. When that is at its limit, too,
+// callers get retry-after times that follow one another.
+func TestUpstreamsAtTheirLimitGetNothing(t *testing.T) {
 	now, rng := time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2))
 	call := placement.Need{Kind: vaneyoke.KindService, Service: "shop"}
 	s := limitedState("u0", "u1", "u2")
@@ -42,40 +42,40 @@
 	for _, id := range []vaneyoke.UpstreamID{"u0", "u1"} {
 		s.SetLimit(id, limit)
 	}
-	must.MapLen(t, 3, picked(call)) // what they offer is used
-	free := call
-	free.Free = true
-	must.Eq(t, map[vaneyoke.UpstreamID]bool{"u2": true}, picked(free))
-	s.Withheld(now, "u0", 300*time.Millisecond, 400*time.Millisecond)
-	s.Withheld(now, "u1", 200*time.Millisecond, 900*time.Millisecond)
+	must.MapLen(t, 3, picked(call)) // below their limits all are used
+	unlimited := call
+	unlimited.Unlimited = true
+	must.Eq(t, map[vaneyoke.UpstreamID]bool{"u2": true}, picked(unlimited))
+	s.LimitReached(now, "u0", 300*time.Millisecond, 400*time.Millisecond)
+	s.LimitReached(now, "u1", 200*time.Millisecond, 900*time.Millisecond)
 	must.Eq(t, map[vaneyoke.UpstreamID]bool{"u2": true}, picked(call))
 	s.SetLimit("u2", limit)
-	s.Withheld(now, "u2", time.Second, time.Second)
+	s.LimitReached(now, "u2", time.Second, time.Second)
 	must.MapEmpty(t, picked(call))
-	var turns []time.Duration
+	var retryAfter []time.Duration
 	for range 4 {
-		after, ok := s.ComeBack(now, call)
+		after, ok := s.LimitRetryAfter(now, call)
 		must.True(t, ok)
-		turns = append(turns, after)
+		retryAfter = append(retryAfter, after)
 	}
-	must.Eq(t, []time.Duration{400 * time.Millisecond, 900 * time.Millisecond, 900 * time.Millisecond, time.Second}, turns)
+	must.Eq(t, []time.Duration{400 * time.Millisecond, 900 * time.Millisecond, 900 * time.Millisecond, time.Second}, retryAfter)
 	now = now.Add(250 * time.Millisecond)
 	must.Eq(t, map[vaneyoke.UpstreamID]bool{"u1": true}, picked(call))
-	s.SetLimit("u2", vaneyoke.Limit{}) // it has ended
+	s.SetLimit("u2", vaneyoke.Limit{}) // its limit has been removed
 	must.MapContainsKey(t, picked(call), "u2")
-	_, ok := s.ComeBack(now, placement.Need{Kind: vaneyoke.KindService, Service: "other"})
+	_, ok := s.LimitRetryAfter(now, placement.Need{Kind: vaneyoke.KindService, Service: "other"})
 	must.False(t, ok)
 }
 
-// TestUpstreamsInNeedAreSparedQuestionsAndReplicas asks whom a prompt's report, rest or replica is looked for at.
-func TestUpstreamsInNeedAreSparedQuestionsAndReplicas(t *testing.T) {
+// TestLimitedUpstreamsGetNoQueriesOrReplicas leaves upstreams with a declared limit out of report queries, prompt searches and replicas.
+func TestLimitedUpstreamsGetNoQueriesOrReplicas(t *testing.T) {
 	now, rng := time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2))
-	prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", Bytes: 100, Replicate: true}
+	prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", PromptBytes: 100, Replicate: true}
 	s := limitedState("u0", "u1", "u2")
 	s.SetLimit("u0", limit)
-	for _, asked := range [][]vaneyoke.Upstream{s.Homes(now, prompt), s.Holders(now, prompt)} {
-		must.Len(t, 2, asked)
-		for _, u := range asked {
+	for _, targets := range [][]vaneyoke.Upstream{s.AffinityUpstreams(now, prompt), s.PromptHolders(now, prompt)} {
+		must.Len(t, 2, targets)
+		for _, u := range targets {
 			must.NotEqOp(t, "u0", u.ID)
 		}
 	}
@@ -89,11 +89,11 @@
 	must.False(t, ok)
 }
 
-// TestLimitOfAnUpstreamThatIsNotListedYet is known before the list is.
-func TestLimitOfAnUpstreamThatIsNotListedYet(t *testing.T) {
+// TestLimitOfUnlistedUpstreamIsKept sets the limit of an upstream before it is listed.
+func TestLimitOfUnlistedUpstreamIsKept(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := limitedState("u1")
 	s.SetLimit("u0", limit)
 	s.SetUpstreams([]vaneyoke.Upstream{{ID: "u0", Kind: vaneyoke.KindService, Service: "shop", State: vaneyoke.StateLive, URL: "http://u0"}})
-	must.SliceEmpty(t, s.Homes(now, placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p"}))
+	must.SliceEmpty(t, s.AffinityUpstreams(now, placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p"}))
 }
--- a/decide/placement/load.go
+++ b/decide/placement/load.go
@@ -8,29 +8,29 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Outcomes counts attempts by how they ended.
-type Outcomes [outcomes]int
+// Outcomes counts attempts by outcome.
+type Outcomes [numOutcomes]int
 
-// Bad returns how many attempts ended by a fault of the upstream.
+// Bad returns how many attempts failed because of the upstream.
 func (o Outcomes) Bad() int { return o[OutcomeFailed] + o[OutcomeLost] + o[OutcomeUnreachable] }
 
-// Load describes one upstream as the node sees it.
+// Load is the node's view of one upstream.
 type Load struct {
-	Upstream vaneyoke.Upstream
-	InFlight int
-	Open     bool     // whether the breaker holds work back
-	Drained  bool     // whether a policy drains it
-	Limited  bool     // whether it names how many requests it takes
-	Held     bool     // whether it gets nothing new because it said so
-	Ended    Outcomes // of this node's attempts there
+	Upstream    vaneyoke.Upstream
+	InFlight    int
+	BreakerOpen bool     // whether its circuit breaker is open
+	Drained     bool     // whether it is drained by policy
+	Limited     bool     // whether it declares a rate limit
+	Held        bool     // whether it gets no new attempts because of a pushback or its shutdown
+	Outcomes    Outcomes // of this node's attempts
 }
 
-// Loads returns what the node sees of each upstream, by id.
+// Loads returns the node's view of each upstream, sorted by ID.
 func (s *State) Loads(now time.Time) []Load {
-	return lo.Map(s.order, func(e *entry, _ int) Load {
+	return lo.Map(s.sorted, func(e *entry, _ int) Load {
 		return Load{
-			Upstream: e.upstream, InFlight: e.inFlight, Open: e.breaker.IsOpen(), Drained: e.drained, Limited: e.limit.Named,
-			Held: e.hold.Active(now, &e.upstream), Ended: e.ended,
+			Upstream: e.upstream, InFlight: e.inFlight, BreakerOpen: e.breaker.IsOpen(), Drained: e.drained, Limited: e.limit.Named,
+			Held: e.hold.Active(now, &e.upstream), Outcomes: e.outcomes,
 		}
 	})
 }
--- a/decide/placement/pick.go
+++ b/decide/placement/pick.go
@@ -8,30 +8,30 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Pick chooses the best of a few random candidates, from the first set in the order that has any, by the expected time to
-// the first token; what other nodes have sent shows in how long first tokens take, so that no reports are needed.
-// Upstreams to avoid are taken only where there is no other, and those that failed in a row only after them.
+// Pick returns the best of a few random candidates by the expected time to the first token, and the time to the first token to allow for.
+// Candidates come from the first non-empty set in the order of preference. Other nodes' load shows in the time to the first token, so that no
+// load reports are needed. Upstreams to avoid are used only if there is no other, and those with an open circuit breaker only after them.
 func (s *State) Pick(now time.Time, rng *rand.Rand, need Need) (vaneyoke.Upstream, time.Duration, bool) {
 	if e := s.preferred(now, need); e != nil {
-		return e.upstream, e.first.patient(need.Bytes), true
+		return e.upstream, e.firstToken.upperBound(need.PromptBytes), true
 	}
-	candidates := s.mayGet(now, need)
+	candidates := s.candidates(now, need)
 	if len(candidates) == 0 {
 		return vaneyoke.Upstream{}, 0, false
 	}
 	chosen := s.choose(now, rng, need, candidates)
-	return chosen.upstream, chosen.first.patient(need.Bytes), true
+	return chosen.upstream, chosen.firstToken.upperBound(need.PromptBytes), true
 }
 
-// mayGet returns the upstreams of which one is to get an attempt: the first set, by tier and by the need's order, that has any.
-func (s *State) mayGet(now time.Time, need Need) []*entry {
+// candidates returns the upstreams that may get an attempt: the first non-empty set by tier, then by the need's order of preference.
+func (s *State) candidates(now time.Time, need Need) []*entry {
 	order := need.Order
 	if len(order) == 0 {
 		order = anyUpstream
 	}
 	for _, t := range tiers {
 		for _, selector := range order {
-			if candidates := s.candidates(now, need, selector, t); len(candidates) > 0 {
+			if candidates := s.candidatesInTier(now, need, selector, t); len(candidates) > 0 {
 				return candidates
 			}
 		}
@@ -39,31 +39,32 @@
 	return nil
 }
 
-// preferred returns the upstream that a need prefers, or the one that has its address now; nil where neither takes work.
+// preferred returns the upstream that a need prefers or the one now at its address, or nil if it takes no work.
 func (s *State) preferred(now time.Time, need Need) *entry {
 	if need.Prefer.URL == "" {
 		return nil
 	}
-	for _, e := range s.order {
-		if e.upstream.URL == need.Prefer.URL && e.takesWork(now) && offers(&e.upstream, need) && s.suits(need, e, false) {
+	for _, e := range s.sorted {
+		if e.upstream.URL == need.Prefer.URL && e.takesWork(now) && offers(&e.upstream, need) && s.matchesSplit(need, e, false) {
 			return e
 		}
 	}
 	return nil
 }
 
-// tier is a set of upstreams that are taken only where the one before it is empty.
+// tier selects a set of candidates that is used only if all tiers before it are empty.
 type tier struct {
-	avoided bool // whether they are among those to avoid
-	open    bool // whether breakers are left aside
-	other   bool // whether they are of a version that gets the request only where the one that it is meant for has nobody
+	avoided         bool // whether it holds the upstreams to avoid
+	ignoreBreaker   bool // whether open circuit breakers are ignored
+	fallbackVersion bool // whether it holds versions that get the request only if its own version has no upstream
 }
 
-func (s *State) candidates(now time.Time, need Need, selector vaneyoke.Selector, t tier) []*entry {
+// candidatesInTier returns a tier's upstreams that match the need and the selector; the result is valid until the next call.
+func (s *State) candidatesInTier(now time.Time, need Need, selector vaneyoke.Selector, t tier) []*entry {
 	s.scratch = s.scratch[:0]
-	for _, e := range s.order {
-		if !e.mayWork(now) || (!t.open && !e.allows(now, need)) || !offers(&e.upstream, need) || !selector.Matches(&e.upstream) ||
-			!s.suits(need, e, t.other) || (need.Free && e.limit.Named) {
+	for _, e := range s.sorted {
+		if !e.isEligible(now) || (!t.ignoreBreaker && !e.breakerAllows(now, need)) || !offers(&e.upstream, need) || !selector.Matches(&e.upstream) ||
+			!s.matchesSplit(need, e, t.fallbackVersion) || (need.Unlimited && e.limit.Named) {
 			continue
 		}
 		if slices.Contains(need.Avoid, e.upstream.ID) == t.avoided {
@@ -73,55 +74,55 @@
 	return s.scratch
 }
 
-// allows reports whether an upstream's failures leave it a request.
-func (e *entry) allows(now time.Time, need Need) bool {
-	if need.Once {
-		return e.breaker.AllowsAfter(now, othersTry)
+// breakerAllows reports whether the circuit breaker lets the request through.
+func (e *entry) breakerAllows(now time.Time, need Need) bool {
+	if need.AtMostOnce {
+		return e.breaker.AllowsAfter(now, atMostOnceTrialDelay)
 	}
 	return e.breaker.Allows(now)
 }
 
-// choose returns the upstream for a need among those that can take it.
+// choose returns the upstream for a need among its candidates.
 func (s *State) choose(now time.Time, rng *rand.Rand, need Need, candidates []*entry) *entry {
 	if need.Affinity != "" {
-		if e := affine(now, need, candidates); e != nil {
+		if e := bestAffinity(now, need, candidates); e != nil {
 			return e
 		}
-		if e := leastTold(now, need, candidates); e != nil {
+		if e := leastReportedLoad(now, need, candidates); e != nil {
 			return e
 		}
 	}
 	return s.best(now, rng, candidates)
 }
 
-// best returns the upstream with the lowest cost among a few random ones.
+// best returns the candidate with the lowest cost among a few random ones.
 func (s *State) best(now time.Time, rng *rand.Rand, candidates []*entry) *entry {
 	chosen := candidates[rng.IntN(len(candidates))]
-	usual := usualFirst(now, candidates)
-	for range choices - 1 {
-		chosen = s.better(now, usual, chosen, candidates[rng.IntN(len(candidates))])
+	fallback := meanFirstToken(now, candidates)
+	for range sampleSize - 1 {
+		chosen = s.better(now, fallback, chosen, candidates[rng.IntN(len(candidates))])
 	}
 	return chosen
 }
 
-// usualFirst returns the mean of the expected times to the first token that are known.
-func usualFirst(now time.Time, candidates []*entry) time.Duration {
+// meanFirstToken returns the mean of the known estimates of the time to the first token.
+func meanFirstToken(now time.Time, candidates []*entry) time.Duration {
 	sum, known := time.Duration(0), time.Duration(0)
 	for _, e := range candidates {
-		if e.first.known() {
-			sum += e.first.expect(now, 0)
+		if e.firstToken.known() {
+			sum += e.firstToken.expected(now, 0)
 			known++
 		}
 	}
 	if known == 0 {
-		return unknownFirst
+		return defaultFirstToken
 	}
 	return sum / known
 }
 
-// better returns the upstream with the lower cost; between equals, the one in the node's own data centre.
-func (s *State) better(now time.Time, usual time.Duration, a, b *entry) *entry {
-	if costA, costB := a.cost(now, usual), b.cost(now, usual); costA != costB {
+// better returns the upstream with the lower cost, or between equals the one in the node's own data centre.
+func (s *State) better(now time.Time, fallback time.Duration, a, b *entry) *entry {
+	if costA, costB := a.cost(now, fallback), b.cost(now, fallback); costA != costB {
 		if costB < costA {
 			return b
 		}
--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -12,37 +12,40 @@
 	"github.com/vaneyoke/vaneyoke/decide/pushback"
 )
 
-func listed(id vaneyoke.UpstreamID) vaneyoke.Upstream {
+func serviceUpstream(id vaneyoke.UpstreamID) vaneyoke.Upstream {
 	return vaneyoke.Upstream{ID: id, Kind: vaneyoke.KindService, Service: "shop", State: vaneyoke.StateLive, Slots: 6, URL: "http://" + string(id)}
 }
 
-func pushedBack(id vaneyoke.UpstreamID, asked time.Duration) pushback.Signal {
-	return pushback.Signal{Upstream: listed(id), Pushback: asked}
+func pushbackSignal(id vaneyoke.UpstreamID, requested time.Duration) pushback.Signal {
+	return pushback.Signal{Upstream: serviceUpstream(id), Pushback: requested}
 }
 
-// TestPushbackEndsByItsTimeAlone lists what must not end a pushback.
+// TestPushbackEndsByItsTimeAlone lists events that must not end a pushback before its time.
 func TestPushbackEndsByItsTimeAlone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	call := placement.Need{Kind: vaneyoke.KindService, Service: "shop"}
-	follows := map[string]func(s *placement.State){
+	events := map[string]func(s *placement.State){
 		"nothing": func(*placement.State) {},
-		"a request that was under way is answered": func(s *placement.State) {
+		"a request in flight is answered": func(s *placement.State) {
 			s.FirstToken(now, "u0", time.Millisecond, 0)
 			s.Ended(now, "u0", placement.OutcomeDone, true)
 		},
-		"another node finds it well":                    func(s *placement.State) { s.Heard(now, "u0", gossip.KindWell) },
-		"its entry comes again":                         func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{listed("u0")}) },
-		"its entry lapses and comes again":              func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{listed("u0")}) },
-		"it names a limit":                              func(s *placement.State) { s.SetLimit("u0", limit) },
-		"it reports":                                    func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Prompts: 1}) },
-		"all that was under way is refused in its turn": func(s *placement.State) { s.Ended(now, "u0", placement.OutcomeDropped, false) },
+		"another node reports it healthy": func(s *placement.State) { s.RecordGossip(now, "u0", gossip.KindWell) },
+		"its entry is listed again":       func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")}) },
+		"its entry lapses and is listed again": func(s *placement.State) {
+			s.SetUpstreams(nil)
+			s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")})
+		},
+		"it declares a limit":                 func(s *placement.State) { s.SetLimit("u0", limit) },
+		"it sends a load report":              func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Prompts: 1}) },
+		"a request in flight is rejected too": func(s *placement.State) { s.Ended(now, "u0", placement.OutcomeDropped, false) },
 	}
-	for name, follow := range follows {
+	for name, event := range events {
 		t.Run(name, func(t *testing.T) {
 			s := limitedState("u0")
 			s.Sent(now, "u0")
-			s.Signalled(now, pushedBack("u0", 3*time.Second))
-			follow(s)
+			s.RecordSignal(now, pushbackSignal("u0", 3*time.Second))
+			event(s)
 			_, _, ok := s.Pick(now.Add(3*time.Second-time.Millisecond), rng(), call)
 			must.False(t, ok)
 			_, _, ok = s.Pick(now.Add(3*time.Second), rng(), call)
@@ -51,38 +54,39 @@
 	}
 }
 
-// TestPushedBackUpstreamsGetNothingOfAnyKind: first attempts, repeats, attempts that prefer it, questions for reports and for prompts, replicas.
+// TestPushedBackUpstreamsGetNothingOfAnyKind covers first attempts, retries, attempts that prefer the upstream, queries for reports and prompts, and
+// replicas.
 func TestPushedBackUpstreamsGetNothingOfAnyKind(t *testing.T) {
 	now := time.Unix(1000, 0)
 	signals := map[string]pushback.Signal{
-		"pushed back": pushedBack("u0", 3*time.Second),
-		"leaving":     {Upstream: listed("u0"), Leaving: true},
+		"pushed back": pushbackSignal("u0", 3*time.Second),
+		"leaving":     {Upstream: serviceUpstream("u0"), Leaving: true},
 	}
 	for name, signal := range signals {
 		t.Run(name, func(t *testing.T) {
 			s := limitedState("u0", "u1", "u2")
-			s.Signalled(now, signal)
-			for _, id := range []vaneyoke.UpstreamID{"u1", "u2"} { // failing ones are taken rather than it
-				s.Heard(now, id, gossip.KindUnreachable)
+			s.RecordSignal(now, signal)
+			for _, id := range []vaneyoke.UpstreamID{"u1", "u2"} { // even failing ones are preferred to it
+				s.RecordGossip(now, id, gossip.KindUnreachable)
 				must.True(t, s.TakesWork(now.Add(time.Second), id))
 			}
-			prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", Bytes: 100, Replicate: true}
-			prefers, repeat, once := prompt, prompt, prompt
-			prefers.Prefer, repeat.Avoid, once.Once = listed("u0"), []vaneyoke.UpstreamID{"u1", "u2"}, true
-			for _, need := range []placement.Need{prompt, prefers, repeat, once} {
+			prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", PromptBytes: 100, Replicate: true}
+			prefers, repeat, atMostOnce := prompt, prompt, prompt
+			prefers.Prefer, repeat.Avoid, atMostOnce.AtMostOnce = serviceUpstream("u0"), []vaneyoke.UpstreamID{"u1", "u2"}, true
+			for _, need := range []placement.Need{prompt, prefers, repeat, atMostOnce} {
 				for range 30 {
 					u, _, ok := s.Pick(now, rng(), need)
 					must.True(t, ok)
 					must.NotEqOp(t, "u0", u.ID)
 				}
 			}
-			later := now.Add(time.Second) // the others take questions again
-			for _, asked := range [][]vaneyoke.Upstream{s.Homes(later, prompt), s.Spares(later, rng(), prompt), s.Holders(later, prompt)} {
-				for _, u := range asked {
+			later := now.Add(time.Second) // the others accept queries again
+			for _, targets := range [][]vaneyoke.Upstream{s.AffinityUpstreams(later, prompt), s.SpilloverUpstreams(later, rng(), prompt), s.PromptHolders(later, prompt)} {
+				for _, u := range targets {
 					must.NotEqOp(t, "u0", u.ID)
 				}
 			}
-			replica, ok := s.PickReplica(later, rng(), prompt, listed("u1"))
+			replica, ok := s.PickReplica(later, rng(), prompt, serviceUpstream("u1"))
 			must.True(t, ok)
 			must.EqOp(t, "u2", replica.ID)
 			must.False(t, s.TakesWork(later, "u0"))
@@ -90,39 +94,41 @@
 	}
 }
 
-// TestNextLifeIsNotPushedBack: neither a pushback nor the circuit breaker that waits for its end is of the life that follows under the same id.
-func TestNextLifeIsNotPushedBack(t *testing.T) {
+// TestNextIncarnationIsNotPushedBack restarts an upstream under its ID during a pushback: neither the pushback nor the circuit breaker that waits for
+// its end applies to the new incarnation.
+func TestNextIncarnationIsNotPushedBack(t *testing.T) {
 	now := time.Unix(1000, 0)
-	born := listed("u0")
-	born.Incarnation = 5
-	again := born
-	again.Incarnation = 6
-	comesBack := map[string]func(s *placement.State){
-		"its entry says so":  func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{again}) },
-		"it says so itself":  func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Incarnation: 6}) },
-		"its entry had gone": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{again}) },
+	before := serviceUpstream("u0")
+	before.Incarnation = 5
+	restarted := before
+	restarted.Incarnation = 6
+	restarts := map[string]func(s *placement.State){
+		"listed with the new incarnation":     func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
+		"reported by the upstream":            func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Incarnation: 6}) },
+		"listed again after its entry lapsed": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
 	}
-	for name, comeBack := range comesBack {
+	for name, restart := range restarts {
 		t.Run(name, func(t *testing.T) {
 			s := limitedState()
-			s.SetUpstreams([]vaneyoke.Upstream{born})
-			s.Signalled(now, pushback.Signal{Upstream: born, Pushback: 3 * time.Second, Leaving: true})
+			s.SetUpstreams([]vaneyoke.Upstream{before})
+			s.RecordSignal(now, pushback.Signal{Upstream: before, Pushback: 3 * time.Second, Leaving: true})
 			must.False(t, s.TakesWork(now, "u0"))
-			comeBack(s)
+			restart(s)
 			must.True(t, s.TakesWork(now, "u0"))
-			s.Signalled(now, pushback.Signal{Upstream: born, Pushback: 3 * time.Second}) // an answer of the earlier life comes late
+			s.RecordSignal(now, pushback.Signal{Upstream: before, Pushback: 3 * time.Second}) // late response of the earlier incarnation
 			must.True(t, s.TakesWork(now, "u0"))
-			s.Signalled(now, pushback.Signal{Upstream: again, Pushback: 3 * time.Second})
+			s.RecordSignal(now, pushback.Signal{Upstream: restarted, Pushback: 3 * time.Second})
 			must.False(t, s.TakesWork(now, "u0"))
 		})
 	}
 }
 
-// TestOneAttemptFindsOutWhetherAPushbackWasLongEnough: the others go to upstreams that did not push back, until it is answered.
+// TestOneAttemptFindsOutWhetherAPushbackWasLongEnough sends a single trial after a pushback: until it is answered, other attempts go to upstreams that
+// did not push back.
 func TestOneAttemptFindsOutWhetherAPushbackWasLongEnough(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := limitedState("u0", "u1")
-	s.Signalled(now, pushedBack("u0", time.Second))
+	s.RecordSignal(now, pushbackSignal("u0", time.Second))
 	now = now.Add(time.Second)
 	must.True(t, s.TakesWork(now, "u0"))
 	s.Sent(now, "u0")
@@ -131,26 +137,26 @@
 	must.True(t, s.TakesWork(now, "u0"))
 }
 
-// TestCallersComeBackWhenAPushbackEnds has all upstreams push back or leave: callers are told to come back when the first takes work again, not all
-// at one moment.
+// TestCallersComeBackWhenAPushbackEnds has all upstreams push back or shut down: callers get retry-after times shortly after the first of them accepts
+// work again, spread so that they do not all retry at once.
 func TestCallersComeBackWhenAPushbackEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	call := placement.Need{Kind: vaneyoke.KindService, Service: "shop"}
 	s := limitedState("u0", "u1", "u2")
-	s.Signalled(now, pushedBack("u0", 3*time.Second))
-	s.Signalled(now, pushedBack("u1", 2*time.Second))
-	s.Signalled(now, pushedBack("u2", time.Second))
-	s.Signalled(now, pushback.Signal{Upstream: listed("u2"), Leaving: true}) // it does not come back
+	s.RecordSignal(now, pushbackSignal("u0", 3*time.Second))
+	s.RecordSignal(now, pushbackSignal("u1", 2*time.Second))
+	s.RecordSignal(now, pushbackSignal("u2", time.Second))
+	s.RecordSignal(now, pushback.Signal{Upstream: serviceUpstream("u2"), Leaving: true}) // it will not accept work again
 	first, last, random := time.Hour, time.Duration(0), rng()
 	for range 200 {
-		after, ok := s.PushedBack(now, random, call)
+		after, ok := s.PushbackRetryAfter(now, random, call)
 		must.True(t, ok)
 		first, last = min(first, after), max(last, after)
 	}
 	must.Between(t, 2*time.Second, first, 2100*time.Millisecond)
 	must.Between(t, 2400*time.Millisecond, last, 2500*time.Millisecond)
-	after, _ := s.PushedBack(now.Add(1990*time.Millisecond), random, call) // what is over soon needs no spreading
+	after, _ := s.PushbackRetryAfter(now.Add(1990*time.Millisecond), random, call) // a short remaining pushback needs little spread
 	must.Between(t, 10*time.Millisecond, after, 20*time.Millisecond)
-	_, ok := s.PushedBack(now, random, placement.Need{Kind: vaneyoke.KindService, Service: "other"})
+	_, ok := s.PushbackRetryAfter(now, random, placement.Need{Kind: vaneyoke.KindService, Service: "other"})
 	must.False(t, ok)
 }
--- a/decide/placement/replaced_test.go
+++ b/decide/placement/replaced_test.go
@@ -11,8 +11,8 @@
 	"github.com/vaneyoke/vaneyoke/decide/retry"
 )
 
-// TestReplacedAtItsAddress lists an upstream at the address of one that is still listed: the earlier one gets nothing more.
-func TestReplacedAtItsAddress(t *testing.T) {
+// TestUpstreamIsReplacedAtItsAddress lists a new upstream at the address of one that is still listed: the earlier one gets no more work.
+func TestUpstreamIsReplacedAtItsAddress(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := placement.New("a", retry.DefaultBreakerConfig())
 	old := vaneyoke.Upstream{ID: "old", Kind: need.Kind, Service: "lm", State: vaneyoke.StateLive, URL: "http://x"}
--- a/decide/placement/sim_test.go
+++ b/decide/placement/sim_test.go
@@ -15,19 +15,19 @@
 	"github.com/vaneyoke/vaneyoke/decide/retry"
 )
 
-// The simulated fleet is today's, with engines of three speeds.
+// The simulated fleet has the size of the current one, with engines of different speeds.
 const (
 	simNodes   = 7
 	simEngines = 24
 	simSlots   = 4
-	simLoad    = 0.9 // of the capacity
+	simLoad    = 0.9 // share of the capacity
 	simTime    = 120 * time.Second
 	tokenTime  = 29 * time.Millisecond
-	byteTime   = 20 * time.Microsecond // of prefill
+	byteTime   = 20 * time.Microsecond // per byte of prefill
 	reportLag  = time.Second
 )
 
-// job is one request on its way through an engine.
+// job is one request.
 type job struct {
 	arrived time.Time
 	engine  int
@@ -37,8 +37,8 @@
 	long    bool
 }
 
-// happening is something that takes place at a time.
-type happening struct {
+// event is a simulation event.
+type event struct {
 	at   time.Time
 	kind int
 	job  *job
@@ -50,52 +50,52 @@
 	departure
 )
 
-type agenda []happening
+type eventQueue []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) } //nolint:errcheck // only happenings are pushed
-func (a *agenda) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(event)) } //nolint:errcheck // only events are pushed
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// simEngine is a queue before some slots.
+// simEngine is an engine with a queue and a fixed number of slots.
 type simEngine struct {
-	speed    float64
-	running  int
-	queue    []*job
-	reported int // load as it was told last
-	told     time.Time
+	speed      float64
+	running    int
+	queue      []*job
+	reported   int // load in the latest report
+	reportedAt time.Time
 }
 
-// chooser is one way to choose an engine.
+// chooser chooses engines for jobs.
 type chooser interface {
 	choose(now time.Time, node int, j *job) int
 	first(now time.Time, j *job)
 	done(now time.Time, j *job)
 }
 
-type sim struct {
-	rng     *rand.Rand
-	agenda  agenda
-	engines []*simEngine
-	chooser chooser
-	short   []time.Duration // first token times of short requests
+type slotSim struct {
+	rng              *rand.Rand
+	events           eventQueue
+	engines          []*simEngine
+	chooser          chooser
+	shortFirstTokens []time.Duration // times to the first token of short requests
 }
 
-func newSim(seed uint64) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, seed))}
+func newSlotSim(seed uint64) *slotSim {
+	s := &slotSim{rng: rand.New(rand.NewPCG(seed, seed))}
 	for i := range simEngines {
 		s.engines = append(s.engines, &simEngine{speed: []float64{1, 1, 0.5}[i%3]})
 	}
 	return s
 }
 
-// run sends a mix of long and short requests and returns the 95th and 99th percentile of the short ones' first tokens.
-func (s *sim) run() (p95, p99 time.Duration) {
+// run sends a mix of long and short requests and returns the 95th and 99th percentile of the short ones' time to the first token.
+func (s *slotSim) run() (p95, p99 time.Duration) {
 	start := time.Unix(0, 0)
 	capacity := 0.0
 	for _, e := range s.engines {
@@ -106,16 +106,16 @@
 	rate := simLoad * capacity / mean
 	for at := start; at.Sub(start) < simTime; {
 		at = at.Add(time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second)))
-		heap.Push(&s.agenda, happening{at: at, kind: arrival, job: s.newJob(at)})
+		heap.Push(&s.events, event{at: at, kind: arrival, job: s.newJob(at)})
 	}
-	for s.agenda.Len() > 0 {
-		s.step(heap.Pop(&s.agenda).(happening)) //nolint:errcheck // only happenings are pushed
+	for s.events.Len() > 0 {
+		s.step(heap.Pop(&s.events).(event)) //nolint:errcheck // only events are pushed
 	}
-	slices.Sort(s.short)
-	return s.short[len(s.short)*95/100], s.short[len(s.short)*99/100]
+	slices.Sort(s.shortFirstTokens)
+	return s.shortFirstTokens[len(s.shortFirstTokens)*95/100], s.shortFirstTokens[len(s.shortFirstTokens)*99/100]
 }
 
-func (s *sim) newJob(at time.Time) *job {
+func (s *slotSim) newJob(at time.Time) *job {
 	j := &job{arrived: at, node: s.rng.IntN(simNodes), bytes: 500, tokens: 15}
 	if s.rng.Float64() < 0.3 {
 		j.bytes, j.tokens, j.long = 8000, 150, true
@@ -123,7 +123,7 @@
 	return j
 }
 
-func (s *sim) step(h happening) {
+func (s *slotSim) step(h event) {
 	switch h.kind {
 	case arrival:
 		h.job.engine = s.chooser.choose(h.at, h.job.node, h.job)
@@ -132,7 +132,7 @@
 		s.serve(h.at, e)
 	case firstToken:
 		if !h.job.long {
-			s.short = append(s.short, h.at.Sub(h.job.arrived))
+			s.shortFirstTokens = append(s.shortFirstTokens, h.at.Sub(h.job.arrived))
 		}
 		s.chooser.first(h.at, h.job)
 	case departure:
@@ -143,27 +143,27 @@
 	}
 }
 
-// serve starts what waits while there are slots.
-func (s *sim) serve(now time.Time, e *simEngine) {
+// serve starts queued jobs while there are free slots.
+func (s *slotSim) serve(now time.Time, e *simEngine) {
 	for e.running < simSlots && len(e.queue) > 0 {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
 		e.running++
 		prefill := time.Duration(float64(byteTime) * float64(j.bytes) / e.speed)
 		decode := time.Duration(float64(tokenTime) * float64(j.tokens) / e.speed)
-		heap.Push(&s.agenda, happening{at: now.Add(prefill), kind: firstToken, job: j})
-		heap.Push(&s.agenda, happening{at: now.Add(prefill + decode), kind: departure, job: j})
+		heap.Push(&s.events, event{at: now.Add(prefill), kind: firstToken, job: j})
+		heap.Push(&s.events, event{at: now.Add(prefill + decode), kind: departure, job: j})
 	}
 }
 
-// ours is the product's own choice, one state for each node.
-type ours struct {
+// stateChooser chooses as the product does, with one state per node.
+type stateChooser struct {
 	rng    *rand.Rand
 	states []*placement.State
 }
 
-func newOurs(s *sim) *ours {
-	o := &ours{rng: s.rng}
+func newStateChooser(s *slotSim) *stateChooser {
+	o := &stateChooser{rng: s.rng}
 	var upstreams []vaneyoke.Upstream
 	for i := range simEngines {
 		upstreams = append(upstreams, vaneyoke.Upstream{
@@ -180,23 +180,23 @@
 
 func engineID(i int) vaneyoke.UpstreamID { return vaneyoke.UpstreamID(fmt.Sprintf("%02d", i)) }
 
-func (o *ours) choose(now time.Time, node int, j *job) int {
-	u, _, _ := o.states[node].Pick(now, o.rng, placement.Need{Kind: vaneyoke.KindEngine, Model: "m", Bytes: j.bytes})
+func (o *stateChooser) choose(now time.Time, node int, j *job) int {
+	u, _, _ := o.states[node].Pick(now, o.rng, placement.Need{Kind: vaneyoke.KindEngine, Model: "m", PromptBytes: j.bytes})
 	o.states[node].Sent(now, u.ID)
 	var i int
 	_, _ = fmt.Sscanf(string(u.ID), "%d", &i)
 	return i
 }
 
-func (o *ours) first(now time.Time, j *job) {
+func (o *stateChooser) first(now time.Time, j *job) {
 	o.states[j.node].FirstToken(now, engineID(j.engine), now.Sub(j.arrived), j.bytes)
 }
 
-func (o *ours) done(now time.Time, j *job) {
+func (o *stateChooser) done(now time.Time, j *job) {
 	o.states[j.node].Ended(now, engineID(j.engine), placement.OutcomeDone, true)
 }
 
-// roundRobin is a baseline: each node goes through the engines in turn.
+// roundRobin is a baseline: each node uses the engines in turn.
 type roundRobin struct{ next [simNodes]int }
 
 func (r *roundRobin) choose(_ time.Time, node int, _ *job) int {
@@ -206,14 +206,14 @@
 func (*roundRobin) first(time.Time, *job) {}
 func (*roundRobin) done(time.Time, *job)  {}
 
-// leastReported is a baseline: the engine with the least load as it was reported a second ago.
-type leastReported struct{ sim *sim }
+// leastReported is a baseline: the engine with the least load in reports up to a second old.
+type leastReported struct{ sim *slotSim }
 
 func (l *leastReported) choose(now time.Time, _ int, _ *job) int {
 	best := 0
 	for i, e := range l.sim.engines {
-		if now.Sub(e.told) >= reportLag {
-			e.reported, e.told = e.running+len(e.queue), now
+		if now.Sub(e.reportedAt) >= reportLag {
+			e.reported, e.reportedAt = e.running+len(e.queue), now
 		}
 		if e.reported < l.sim.engines[best].reported {
 			best = i
@@ -224,9 +224,9 @@
 func (*leastReported) first(time.Time, *job) {}
 func (*leastReported) done(time.Time, *job)  {}
 
-// ownRandomTwo is a baseline: the less loaded of two, by the node's own work alone.
+// ownRandomTwo is a baseline: the better of two random engines by the node's own load alone.
 type ownRandomTwo struct {
-	sim *sim
+	sim *slotSim
 	own [simNodes][simEngines]int
 }
 
@@ -241,29 +241,29 @@
 func (*ownRandomTwo) first(time.Time, *job)      {}
 func (o *ownRandomTwo) done(_ time.Time, j *job) { o.own[j.node][j.engine]-- }
 
-// outcomes runs each way over the same arrivals.
-func outcomes() map[string][2]time.Duration {
-	ways := map[string]func(*sim) chooser{
-		"ours":           func(s *sim) chooser { return newOurs(s) },
-		"round robin":    func(*sim) chooser { return &roundRobin{} },
-		"least reported": func(s *sim) chooser { return &leastReported{sim: s} },
-		"own random two": func(s *sim) chooser { return &ownRandomTwo{sim: s} },
+// compareChoosers runs each chooser over the same arrivals and returns the percentiles by name.
+func compareChoosers() map[string][2]time.Duration {
+	choosers := map[string]func(*slotSim) chooser{
+		"ours":           func(s *slotSim) chooser { return newStateChooser(s) },
+		"round robin":    func(*slotSim) chooser { return &roundRobin{} },
+		"least reported": func(s *slotSim) chooser { return &leastReported{sim: s} },
+		"own random two": func(s *slotSim) chooser { return &ownRandomTwo{sim: s} },
 	}
 	result := map[string][2]time.Duration{}
-	for name, way := range ways {
-		s := newSim(5)
-		s.chooser = way(s)
+	for name, newChooser := range choosers {
+		s := newSlotSim(5)
+		s.chooser = newChooser(s)
 		p95, p99 := s.run()
 		result[name] = [2]time.Duration{p95, p99}
 	}
 	return result
 }
 
-// TestFirstTokensAgainstBaselines bounds the product's choice by ratios to baselines in the same run, on a clock of its own.
+// TestFirstTokensAgainstBaselines bounds the ratios of the product's times to the first token to those of the baselines, on a simulated clock.
 func TestFirstTokensAgainstBaselines(t *testing.T) {
-	got := outcomes()
-	for name, times := range got {
-		t.Logf("%-15s p95 %8s p99 %8s", name, times[0].Round(time.Millisecond), times[1].Round(time.Millisecond))
+	got := compareChoosers()
+	for name, percentiles := range got {
+		t.Logf("%-15s p95 %8s p99 %8s", name, percentiles[0].Round(time.Millisecond), percentiles[1].Round(time.Millisecond))
 	}
 	ours := got["ours"]
 	must.Less(t, 0.4, ratio(ours[1], got["least reported"][1]))
--- a/decide/placement/state.go
+++ b/decide/placement/state.go
@@ -14,109 +14,109 @@
 )
 
 const (
-	choices = 16   // upstreams that are drawn for each choice
-	ownBase = 0.05 // weight of an upstream on which the node has no work
-	// goneFor is how long an upstream is left aside at whose address another one answered: longer than entries outlive their
-	// upstreams, which is three heartbeats of some 1.2 s, and not for ever, since it may start again under its id.
-	goneFor = 5 * time.Second
+	sampleSize = 16   // random candidates compared per choice
+	baseLoad   = 0.05 // load assumed for an upstream on which the node has no work
+	// goneTTL is how long an upstream gets no work after another one answered at its address. It exceeds the time that an entry outlives
+	// its upstream, three heartbeats of about 1.2 s, and is limited because the upstream may restart under the same ID.
+	goneTTL = 5 * time.Second
 )
 
-// Need says what an attempt asks of its upstream.
+// Need describes the upstream that an attempt requires.
 type Need struct {
-	Kind      vaneyoke.UpstreamKind
-	Model     vaneyoke.ModelID    // of an engine
-	Service   vaneyoke.ServiceID  // of a service
-	Order     []vaneyoke.Selector // upstreams in the order of preference; nil for any
-	Avoid     []vaneyoke.UpstreamID
-	Affinity  string            // names the prompt, so that it is sent where it may have been read before; "" for none
-	Prefer    vaneyoke.Upstream // upstream that is taken where it takes work, also after it was replaced at its address
-	Bytes     int               // size of the prompt
-	Replicate bool              // whether another upstream is to keep a replica of the run
-	Once      bool              // whether it may be sent to one upstream only
-	Trial     bool              // whether it was drawn to try the version to which its service moves
-	Free      bool              // whether only upstreams that name no limit are asked for
+	Kind        vaneyoke.UpstreamKind
+	Model       vaneyoke.ModelID    // for engines
+	Service     vaneyoke.ServiceID  // for services
+	Order       []vaneyoke.Selector // in order of preference; nil for any upstream
+	Avoid       []vaneyoke.UpstreamID
+	Affinity    string            // identifies the prompt, so that it goes to upstreams that may have it in their cache; "" for none
+	Prefer      vaneyoke.Upstream // picked if it takes work, even under a new ID at the same address
+	PromptBytes int               // size of the prompt
+	Replicate   bool              // whether another upstream is to keep a replica of the run
+	AtMostOnce  bool              // whether it may be sent to one upstream only
+	Canary      bool              // whether it was selected to test the version that its service is moving to
+	Unlimited   bool              // whether only upstreams without a declared limit qualify
 }
 
-// Outcome says how an attempt on an upstream ended.
+// Outcome is how an attempt on an upstream ended.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
-	OutcomeDone        Outcome = iota + 1 // the upstream did its part
-	OutcomeFailed                         // the upstream told a failure, or refused for reasons of its own
-	OutcomeLost                           // the upstream was lost, fell silent or broke off
-	OutcomeDropped                        // the node ended the attempt
-	OutcomeUnreachable                    // the upstream takes no connections
-	OutcomeGone                           // another upstream has its address
-	OutcomeDeclined                       // the upstream took the request and turned it away
-
-	outcomes = iota + 1 // how many numbers there are, with the one that stands for none
+	OutcomeDone        Outcome = iota + 1 // the upstream completed its part
+	OutcomeFailed                         // the upstream reported a failure, or refused for internal reasons
+	OutcomeLost                           // the upstream was lost, stopped responding or broke off the stream
+	OutcomeDropped                        // the node cancelled the attempt
+	OutcomeUnreachable                    // the upstream accepts no connections
+	OutcomeGone                           // another upstream answered at its address
+	OutcomeDeclined                       // the upstream received the request and rejected it
+
+	numOutcomes = iota + 1 // number of outcomes, including the zero value
 )
 
-// String names the outcome as it stands in metrics.
+// String returns the outcome's name in metrics.
 func (o Outcome) String() string {
 	return names.Of(o, "none", "done", "failed", "lost", "dropped", "unreachable", "gone", "declined")
 }
 
-// entry is what the node knows of one upstream.
+// entry is the node's state for one upstream.
 type entry struct {
-	upstream     vaneyoke.Upstream
-	inFlight     int // attempts of this node
-	waiting      int // those of them that have given no token yet
-	replicaBytes int // of the prompts of the runs whose replicas it keeps for this node
-	first        estimate
-	declines     declines
-	drained      bool
-	reported     vaneyoke.Report // what it told last
-	reportedAt   time.Time
-	gone         bool      // whether the list has another upstream at its address
-	goneUntil    time.Time // until which another upstream is taken to have its address, because it answered there
-	leaving      bool      // whether its VM is leaving
-	limit        vaneyoke.Limit
-	withheld     time.Time      // until which its limit leaves this node no request
-	turn         time.Time      // when the last caller that was refused for it is to come back
-	hold         *pushback.Hold // that it asked for in any of its lives; nil for none
-	breaker      *retry.Breaker
-	ended        Outcomes
+	upstream           vaneyoke.Upstream
+	inFlight           int // attempts from this node
+	awaitingFirstToken int // attempts in flight without a first token
+	replicaBytes       int // prompt bytes of the runs whose replicas it keeps for this node
+	firstToken         estimate
+	declines           declines
+	drained            bool
+	report             vaneyoke.Report // its latest load report
+	reportedAt         time.Time
+	replaced           bool      // whether a newer upstream is listed at its address
+	goneUntil          time.Time // until when it gets no work because another upstream answered at its address
+	vmLeaving          bool      // whether its VM is being removed
+	limit              vaneyoke.Limit
+	limitedUntil       time.Time      // until when its rate limit leaves this node no request
+	lastRetryAt        time.Time      // retry-after time given to the last caller refused for its limit
+	hold               *pushback.Hold // latest hold of any incarnation; nil for none
+	breaker            *retry.Breaker
+	outcomes           Outcomes
 }
 
-// cost weighs one more request: how long first tokens take there, times the node's own work there.
-func (e *entry) cost(now time.Time, usual time.Duration) float64 {
-	return float64(e.first.expect(now, usual)) * (ownBase + e.load() + float64(e.waiting) + e.declines.of(now))
+// cost returns the cost of one more request: the expected time to the first token, multiplied by the node's load on the upstream.
+func (e *entry) cost(now time.Time, fallback time.Duration) float64 {
+	return float64(e.firstToken.expected(now, fallback)) * (baseLoad + e.load() + float64(e.awaitingFirstToken) + e.declines.decayed(now))
 }
 
-// load returns the node's own work on the upstream for each of its slots.
+// load returns the node's attempts in flight per slot of the upstream.
 func (e *entry) load() float64 {
 	slots := max(e.upstream.Slots, 1)
 	return float64(e.inFlight) / float64(slots)
 }
 
-// State holds the upstreams and the node's own work on each.
+// State holds the known upstreams and this node's load on each.
 type State struct {
 	dataCentre vaneyoke.DataCentreID
 	breaker    retry.BreakerConfig
 	entries    map[vaneyoke.UpstreamID]*entry
-	limits     map[vaneyoke.UpstreamID]vaneyoke.Limit // that upstreams name, also those that are not listed
+	limits     map[vaneyoke.UpstreamID]vaneyoke.Limit // declared limits, including those of upstreams that are not listed
 	holds      *pushback.Tracker
-	order      []*entry // by id, so that a choice depends on the random numbers alone
+	sorted     []*entry // by ID, so that choices are deterministic for a given random source
 	scratch    []*entry
-	divisions  map[vaneyoke.ServiceID]*division // of the services whose upstreams do not all get work
+	splits     map[vaneyoke.ServiceID]*serviceSplit // by service; only services that split requests by version
 }
 
 // New returns a state without upstreams for a node in the given data centre.
 func New(dataCentre vaneyoke.DataCentreID, breaker retry.BreakerConfig) *State {
 	return &State{
 		dataCentre: dataCentre, breaker: breaker, entries: map[vaneyoke.UpstreamID]*entry{}, limits: map[vaneyoke.UpstreamID]vaneyoke.Limit{},
-		holds: pushback.NewTracker(), divisions: map[vaneyoke.ServiceID]*division{},
+		holds: pushback.NewTracker(), splits: map[vaneyoke.ServiceID]*serviceSplit{},
 	}
 }
 
-// SetUpstreams takes in the fleet's upstreams; what is known of those that stay is kept.
+// SetUpstreams replaces the list of upstreams and keeps the state of those that remain listed.
 func (s *State) SetUpstreams(upstreams []vaneyoke.Upstream) {
-	if s.updated(upstreams) {
+	if s.updateInPlace(upstreams) {
 		return
 	}
-	var byURL map[string][]*entry // of those known so far; nil until one comes that is not
+	var byURL map[string][]*entry // known upstreams; built when the first unknown one is seen
 	entries := make(map[vaneyoke.UpstreamID]*entry, len(upstreams))
 	order := make([]*entry, 0, len(upstreams))
 	for _, u := range upstreams {
@@ -124,9 +124,9 @@
 		if !ok {
 			e = &entry{breaker: retry.NewBreaker(s.breaker), limit: s.limits[u.ID], hold: s.holds.Hold(u.ID)}
 			if byURL == nil {
-				byURL = lo.GroupBy(s.order, func(e *entry) string { return e.upstream.URL })
+				byURL = lo.GroupBy(s.sorted, func(e *entry) string { return e.upstream.URL })
 			}
-			replace(byURL[u.URL])
+			markReplaced(byURL[u.URL])
 		}
 		s.update(e, ok, u)
 		entries[u.ID] = e
@@ -134,12 +134,12 @@
 	}
 	slices.SortFunc(order, func(a, b *entry) int { return cmp.Compare(a.upstream.ID, b.upstream.ID) })
 	s.entries = entries
-	s.order = order
-	s.arrange()
+	s.sorted = order
+	s.refreshSplits()
 }
 
-// updated takes in a list of the upstreams that are known already, which costs a fraction of any other, and reports whether it is one.
-func (s *State) updated(upstreams []vaneyoke.Upstream) bool {
+// updateInPlace applies a list with the same upstreams as before, which is much cheaper than rebuilding, and reports whether it was such a list.
+func (s *State) updateInPlace(upstreams []vaneyoke.Upstream) bool {
 	if len(upstreams) != len(s.entries) {
 		return false
 	}
@@ -151,54 +151,54 @@
 	for i := range upstreams {
 		s.update(s.entries[upstreams[i].ID], true, upstreams[i])
 	}
-	s.arrange()
+	s.refreshSplits()
 	return true
 }
 
-func (s *State) arrange() {
-	for _, d := range s.divisions {
-		d.arrange(s.order)
+// refreshSplits recomputes the splits after the upstreams have changed.
+func (s *State) refreshSplits() {
+	for _, sp := range s.splits {
+		sp.selectCanaries(s.sorted)
 	}
 }
 
-// update takes in what the list says of an upstream, which may have been known before.
+// update applies the list's entry for an upstream; known says whether the upstream was listed before.
 func (s *State) update(e *entry, known bool, u vaneyoke.Upstream) {
-	if u.Incarnation < e.upstream.Incarnation { // the entry is older than what the upstream told itself
+	if u.Incarnation < e.upstream.Incarnation { // the entry is older than the upstream's own report
 		u.Incarnation = e.upstream.Incarnation
 	}
 	if known && (e.upstream.Incarnation != 0 && u.Incarnation > e.upstream.Incarnation || u.URL != e.upstream.URL) {
-		s.reborn(e)
+		s.resetAfterRestart(e)
 	}
 	e.upstream = u
 }
 
-// reborn forgets what is known of an upstream's earlier life, but for this node's attempts, which end by themselves.
-func (s *State) reborn(e *entry) {
+// resetAfterRestart drops the state of an upstream's earlier incarnation, except this node's attempts in flight, which end on their own.
+func (s *State) resetAfterRestart(e *entry) {
 	e.breaker = retry.NewBreaker(s.breaker)
-	e.first, e.declines, e.reported, e.replicaBytes = estimate{}, declines{}, vaneyoke.Report{}, 0
-	e.gone, e.goneUntil, e.reportedAt = false, time.Time{}, time.Time{}
-	e.limit, e.withheld, e.turn = vaneyoke.Limit{}, time.Time{}, time.Time{}
+	e.firstToken, e.declines, e.report, e.replicaBytes = estimate{}, declines{}, vaneyoke.Report{}, 0
+	e.replaced, e.goneUntil, e.reportedAt = false, time.Time{}, time.Time{}
+	e.limit, e.limitedUntil, e.lastRetryAt = vaneyoke.Limit{}, time.Time{}, time.Time{}
 }
 
-// replace notes that an upstream that was not known has come to an address: whoever had it has ended, whatever the list still
-// says of them.
-func replace(had []*entry) {
-	for _, e := range had {
-		e.gone = true
+// markReplaced marks the upstreams whose address is now used by a new upstream: they have ended, even if they are still listed.
+func markReplaced(previous []*entry) {
+	for _, e := range previous {
+		e.replaced = true
 	}
 }
 
-// SetDrained takes in which upstreams are drained by policy.
+// SetDrained sets which upstreams are drained by policy.
 func (s *State) SetDrained(drained []vaneyoke.Selector) {
-	for _, e := range s.order {
+	for _, e := range s.sorted {
 		e.drained = matchesAny(drained, &e.upstream)
 	}
 }
 
-// SetLeaving takes in which VMs are leaving.
+// SetLeaving sets which VMs are being removed.
 func (s *State) SetLeaving(vms []vaneyoke.VMID) {
-	for _, e := range s.order {
-		e.leaving = e.upstream.VM != "" && slices.Contains(vms, e.upstream.VM)
+	for _, e := range s.sorted {
+		e.vmLeaving = e.upstream.VM != "" && slices.Contains(vms, e.upstream.VM)
 	}
 }
 
@@ -206,52 +206,54 @@
 	return slices.ContainsFunc(selectors, func(s vaneyoke.Selector) bool { return s.Matches(u) })
 }
 
-// Offers reports whether any upstream, live or not, offers what the need asks for.
+// Offers reports whether any upstream, live or not, offers the required model or service.
 func (s *State) Offers(need Need) bool {
-	return slices.ContainsFunc(s.order, func(e *entry) bool { return offers(&e.upstream, need) })
+	return slices.ContainsFunc(s.sorted, func(e *entry) bool { return offers(&e.upstream, need) })
 }
 
 // Models returns the models that engines offer, sorted.
 func (s *State) Models() []vaneyoke.ModelID {
-	models := lo.Uniq(lo.FlatMap(s.order, func(e *entry, _ int) []vaneyoke.ModelID { return e.upstream.Models }))
+	models := lo.Uniq(lo.FlatMap(s.sorted, func(e *entry, _ int) []vaneyoke.ModelID { return e.upstream.Models }))
 	slices.Sort(models)
 	return models
 }
 
-// anyUpstream is the order of a request for which no policy names one.
+// anyUpstream is the order of preference of a request without a policy.
 var anyUpstream = []vaneyoke.Selector{vaneyoke.SelectAll}
 
+// tiers lists the sets of candidates in the order in which they are tried.
 var tiers = []tier{
 	{},
 	{avoided: true},
-	{other: true},
-	{open: true},
-	{avoided: true, open: true},
-	{other: true, avoided: true, open: true},
-	{other: true, open: true},
+	{fallbackVersion: true},
+	{ignoreBreaker: true},
+	{avoided: true, ignoreBreaker: true},
+	{fallbackVersion: true, avoided: true, ignoreBreaker: true},
+	{fallbackVersion: true, ignoreBreaker: true},
 }
 
-// othersTry is how long requests that can be sent to another upstream have to find out whether one that failed is well again,
-// before one that may be sent once only does.
-const othersTry = 2 * time.Second
+// atMostOnceTrialDelay is how much later than other requests one that may be sent only once may be the trial of an open circuit breaker,
+// so that normally a request that can be retried is the trial.
+const atMostOnceTrialDelay = 2 * time.Second
 
-// TakesWork reports whether an upstream may be given new work.
+// TakesWork reports whether an upstream may get new work.
 func (s *State) TakesWork(now time.Time, id vaneyoke.UpstreamID) bool {
 	e, ok := s.entries[id]
 	return ok && e.takesWork(now)
 }
 
-// mayWork reports whether nothing but failures speaks against new work on the upstream.
-func (e *entry) mayWork(now time.Time) bool {
-	return e.upstream.State == vaneyoke.StateLive && !e.drained && !e.leaving && !e.gone && !now.Before(e.goneUntil) && !now.Before(e.withheld) &&
+// isEligible reports whether the upstream may get new work, regardless of its circuit breaker.
+func (e *entry) isEligible(now time.Time) bool {
+	return e.upstream.State == vaneyoke.StateLive && !e.drained && !e.vmLeaving && !e.replaced && !now.Before(e.goneUntil) && !now.Before(e.limitedUntil) &&
 		!e.hold.Active(now, &e.upstream)
 }
 
-// takesWork reports whether the upstream may be given new work.
+// takesWork reports whether the upstream may get new work.
 func (e *entry) takesWork(now time.Time) bool {
-	return e.mayWork(now) && e.breaker.Allows(now)
+	return e.isEligible(now) && e.breaker.Allows(now)
 }
 
+// offers reports whether an upstream offers the required model or service.
 func offers(u *vaneyoke.Upstream, need Need) bool {
 	if u.Kind != need.Kind {
 		return false
@@ -262,41 +264,41 @@
 	return u.Service == need.Service
 }
 
-// Sent notes that an attempt goes to an upstream.
+// Sent records that an attempt was sent to an upstream.
 func (s *State) Sent(now time.Time, id vaneyoke.UpstreamID) {
 	if e, ok := s.entries[id]; ok {
 		e.inFlight++
-		e.waiting++
+		e.awaitingFirstToken++
 		e.breaker.Sent(now)
 	}
 }
 
-// Resumed notes that an attempt was attached again to a stream that gives tokens already.
+// Resumed records that an attempt was reattached to a stream that already produces tokens.
 func (s *State) Resumed(id vaneyoke.UpstreamID) {
 	if e, ok := s.entries[id]; ok {
 		e.inFlight++
 	}
 }
 
-// FirstToken notes that an attempt's first token came after a while, which closes the breaker.
-func (s *State) FirstToken(now time.Time, id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
+// FirstToken records the time to an attempt's first token, and closes the circuit breaker.
+func (s *State) FirstToken(now time.Time, id vaneyoke.UpstreamID, elapsed time.Duration, promptBytes int) {
 	if e, ok := s.entries[id]; ok {
-		e.waiting = max(e.waiting-1, 0)
-		e.first.add(now, took, promptBytes)
+		e.awaitingFirstToken = max(e.awaitingFirstToken-1, 0)
+		e.firstToken.add(now, elapsed, promptBytes)
 		e.breaker.Succeeded()
 	}
 }
 
-// Ended notes how an attempt that was sent came out; begun says whether its first token had come.
+// Ended records the outcome of an attempt; begun says whether its first token had arrived.
 func (s *State) Ended(now time.Time, id vaneyoke.UpstreamID, outcome Outcome, begun bool) {
 	e, ok := s.entries[id]
 	if !ok {
 		return
 	}
-	e.ended[outcome]++
+	e.outcomes[outcome]++
 	e.inFlight = max(e.inFlight-1, 0)
 	if !begun {
-		e.waiting = max(e.waiting-1, 0)
+		e.awaitingFirstToken = max(e.awaitingFirstToken-1, 0)
 	}
 	switch outcome {
 	case OutcomeDone:
@@ -311,6 +313,6 @@
 	case OutcomeUnreachable:
 		e.breaker.Open(now)
 	case OutcomeGone:
-		e.goneUntil = now.Add(goneFor)
+		e.goneUntil = now.Add(goneTTL)
 	}
 }
--- a/process/node/upstream_metrics.go
+++ b/process/node/upstream_metrics.go
@@ -32,7 +32,7 @@
 			c.Leaving++
 		default:
 			c.Live++
-			if l.Open {
+			if l.BreakerOpen {
 				c.Open++
 			}
 			if l.Limited {
@@ -52,14 +52,14 @@
 
 // failingUpstreams counts how this node's attempts ended at the upstreams whose fault that was most often.
 func failingUpstreams(loads []placement.Load) map[vaneyoke.UpstreamID]map[string]int {
-	failing := lo.Filter(loads, func(l placement.Load, _ int) bool { return l.Ended.Bad() > 0 })
+	failing := lo.Filter(loads, func(l placement.Load, _ int) bool { return l.Outcomes.Bad() > 0 })
 	slices.SortFunc(failing, func(a, b placement.Load) int {
-		return cmp.Or(cmp.Compare(b.Ended.Bad(), a.Ended.Bad()), cmp.Compare(a.Upstream.ID, b.Upstream.ID))
+		return cmp.Or(cmp.Compare(b.Outcomes.Bad(), a.Outcomes.Bad()), cmp.Compare(a.Upstream.ID, b.Upstream.ID))
 	})
 	counts := map[vaneyoke.UpstreamID]map[string]int{}
 	for _, l := range failing[:min(len(failing), mostFailing)] {
 		ended := map[string]int{}
-		for outcome, n := range l.Ended {
+		for outcome, n := range l.Outcomes {
 			if n > 0 {
 				ended[placement.Outcome(outcome).String()] = n
 			}
--- a/process/node/upstream_metrics_test.go
+++ b/process/node/upstream_metrics_test.go
@@ -17,8 +17,8 @@
 	}
 	got := countUpstreams([]placement.Load{
 		load("lm", vaneyoke.StateLive, placement.Load{InFlight: 3, Limited: true}),
-		load("lm", vaneyoke.StateLive, placement.Load{InFlight: 1, Open: true, Held: true}),
-		load("lm", vaneyoke.StateLeaving, placement.Load{InFlight: 2, Open: true}),
+		load("lm", vaneyoke.StateLive, placement.Load{InFlight: 1, BreakerOpen: true, Held: true}),
+		load("lm", vaneyoke.StateLeaving, placement.Load{InFlight: 2, BreakerOpen: true}),
 		load("lm", vaneyoke.StateLive, placement.Load{Drained: true}),
 		load("shop", vaneyoke.StateLive, placement.Load{}),
 	})
@@ -30,11 +30,11 @@
 
 // TestFailingUpstreams has twelve upstreams fail more and more often, and one never.
 func TestFailingUpstreams(t *testing.T) {
-	loads := []placement.Load{{Upstream: vaneyoke.Upstream{ID: "well"}, Ended: placement.Outcomes{placement.OutcomeDone: 100}}}
+	loads := []placement.Load{{Upstream: vaneyoke.Upstream{ID: "well"}, Outcomes: placement.Outcomes{placement.OutcomeDone: 100}}}
 	for i := range 12 {
 		loads = append(loads, placement.Load{
 			Upstream: vaneyoke.Upstream{ID: vaneyoke.UpstreamID(fmt.Sprintf("i-%d", i))},
-			Ended:    placement.Outcomes{placement.OutcomeDone: 5, placement.OutcomeLost: i, placement.OutcomeUnreachable: 1},
+			Outcomes: placement.Outcomes{placement.OutcomeDone: 5, placement.OutcomeLost: i, placement.OutcomeUnreachable: 1},
 		})
 	}
 	got := failingUpstreams(loads)
--- a/shell/balancer/balancer.go
+++ b/shell/balancer/balancer.go
@@ -130,7 +130,7 @@
 func (b *Balancer) Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, before := b.state.Signalled(time.Now(), signal)
+	now, before := b.state.RecordSignal(time.Now(), signal)
 	if now == nil {
 		return pushback.Hold{}, before, false
 	}
@@ -156,7 +156,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.state.Withheld(now, id, next, turn)
+	b.state.LimitReached(now, id, next, turn)
 	b.unplace(now, need, isRetry, id, placement.OutcomeDropped)
 }
 
@@ -179,8 +179,8 @@
 	if !b.state.Offers(need) {
 		return vaneyoke.Err(vaneyoke.CodeUnknownModel, "no upstream offers %s%s", need.Model, need.Service)
 	}
-	pushed, isPushed := b.state.PushedBack(now, b.rng, need)
-	if after, ok := b.state.ComeBack(now, need); ok && (!isPushed || after <= pushed) {
+	pushed, isPushed := b.state.PushbackRetryAfter(now, b.rng, need)
+	if after, ok := b.state.LimitRetryAfter(now, need); ok && (!isPushed || after <= pushed) {
 		return vaneyoke.ErrRetryAfter(vaneyoke.CodeWithheld, after, "the upstreams that could take the request get as many as they name already")
 	}
 	if isPushed {
@@ -200,21 +200,21 @@
 func (b *Balancer) Holders(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.state.Holders(time.Now(), need)
+	return b.state.PromptHolders(time.Now(), need)
 }
 
 // Homes returns the upstreams of which one is to get a prompt.
 func (b *Balancer) Homes(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.state.Homes(time.Now(), need)
+	return b.state.AffinityUpstreams(time.Now(), need)
 }
 
 // Spares returns upstreams that can be asked for their reports because no home of a prompt is free.
 func (b *Balancer) Spares(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.state.Spares(time.Now(), b.rng, need)
+	return b.state.SpilloverUpstreams(time.Now(), b.rng, need)
 }
 
 // HasRoom reports whether an upstream that may get a prompt has room for it, as far as upstreams told of their memory.
@@ -242,14 +242,14 @@
 func (b *Balancer) Released(replica vaneyoke.UpstreamID, need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.state.Released(replica, need)
+	b.state.ReleaseReplica(replica, need)
 }
 
 // Heard takes in what another node saw of an upstream.
 func (b *Balancer) Heard(sighting gossip.Sighting) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.state.Heard(time.Now(), sighting.Upstream, sighting.Kind)
+	b.state.RecordGossip(time.Now(), sighting.Upstream, sighting.Kind)
 }
 
 // Resumed notes that an attempt was attached again to an upstream that it had lost.
@@ -291,14 +291,14 @@
 func (b *Balancer) Draws(service vaneyoke.ServiceID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.state.Draws(b.rng, service)
+	return b.state.DrawCanary(b.rng, service)
 }
 
 // Running returns the attempts under way by service and version.
 func (b *Balancer) Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.state.Running()
+	return b.state.InFlightByVersion()
 }
 
 // Models returns the models that engines offer.
--- a/shell/relay/attempt.go
+++ b/shell/relay/attempt.go
@@ -196,7 +196,7 @@
 		s.answered(l, rollout.Answer{Kind: rollout.AnswerGood, Took: now.Sub(l.sentAt)})
 	}
 	if !l.sentAt.IsZero() && !l.fromReplica && !s.mayBeCached() {
-		s.relay.placer.FirstToken(l.upstream.ID, now.Sub(l.sentAt), s.need.Bytes)
+		s.relay.placer.FirstToken(l.upstream.ID, now.Sub(l.sentAt), s.need.PromptBytes)
 	}
 }
 
--- a/shell/relay/forwarded.go
+++ b/shell/relay/forwarded.go
@@ -58,8 +58,8 @@
 // Forward starts an opaque request; its session runs until it ends or is abandoned.
 func (r *Relay) Forward(ctx context.Context, req *vaneyoke.Request, f Forwarding) *Session {
 	need := placement.Need{
-		Kind: vaneyoke.KindService, Service: f.Service, Order: req.Order, Bytes: req.PromptBytes, Replicate: f.Replicate,
-		Affinity: f.prompt(), Once: !req.Repeatable,
+		Kind: vaneyoke.KindService, Service: f.Service, Order: req.Order, PromptBytes: req.PromptBytes, Replicate: f.Replicate,
+		Affinity: f.prompt(), AtMostOnce: !req.Repeatable,
 	}
 	return r.begin(ctx, req, need, &forwarded{Forwarding: f, last: f.After})
 }
--- a/shell/relay/limited.go
+++ b/shell/relay/limited.go
@@ -50,8 +50,8 @@
 func (s *Session) chooseWithin(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
 	for withheld := 0; ; withheld++ {
 		upstream, expect, err := s.chooseThere(need, retry)
-		if err != nil && need.Free {
-			need.Free = false
+		if err != nil && need.Unlimited {
+			need.Unlimited = false
 			upstream, expect, err = s.chooseThere(need, retry)
 		}
 		if err != nil || !s.relay.limited(upstream.ID) {
@@ -68,7 +68,7 @@
 		if withheld == mostWithheld {
 			return vaneyoke.Upstream{}, 0, vaneyoke.ErrRetryAfter(vaneyoke.CodeWithheld, permit.Turn, "the upstreams that were asked get as many requests as they name already")
 		}
-		need.Free = need.Free || withheld+1 == freeAfter
+		need.Unlimited = need.Unlimited || withheld+1 == freeAfter
 	}
 }
 
--- a/shell/relay/limited_test.go
+++ b/shell/relay/limited_test.go
@@ -42,7 +42,7 @@
 }
 
 func (r *rationed) Place(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
-	if need.Free && len(r.free) == 0 {
+	if need.Unlimited && len(r.free) == 0 {
 		return vaneyoke.Upstream{}, 0, vaneyoke.Err(vaneyoke.CodeNoUpstream, "none")
 	}
 	return r.inTurn.Place(need, retry)
--- a/shell/relay/place.go
+++ b/shell/relay/place.go
@@ -25,7 +25,7 @@
 	need.Avoid = e.Avoid
 	need.Prefer = s.replicaNamed(e.Prefer)
 	if e.Attempt == 1 {
-		need.Trial = s.relay.trier != nil && s.relay.trier.Draws(need.Service)
+		need.Canary = s.relay.trier != nil && s.relay.trier.Draws(need.Service)
 		need.Prefer = s.holder(need)
 	}
 	if !s.awaitRoom(need, e.Attempt == 1) {
@@ -132,12 +132,12 @@
 		return true
 	}
 	began := time.Now()
-	hold := placement.Hold{Given: s.left(m, began), Goal: cmp.Or(m.Goal, unnamedGoal)}
+	hold := placement.CapacityWait{Timeout: s.left(m, began), LatencyGoal: cmp.Or(m.Goal, unnamedGoal)}
 	for looks := 1; ; looks++ {
 		s.askReports(s.relay.placer.Homes(need))
 		s.askReports(s.relay.placer.Spares(need))
 		hasRoom := !first || s.relay.placer.HasRoom(need)
-		wait, again := hold.Again(s.left(m, time.Now()))
+		wait, again := hold.NextCheck(s.left(m, time.Now()))
 		if hasRoom || !again {
 			if looks > 1 {
 				s.logAwaited(time.Since(began), looks, hasRoom)
--- a/shell/relay/record.go
+++ b/shell/relay/record.go
@@ -90,7 +90,7 @@
 		"route":     s.req.Kind,
 		"upstream":  s.last,
 		"version":   s.version(),
-		"prompt":    s.need.Bytes,
+		"prompt":    s.need.PromptBytes,
 		"left_ms":   s.leftMs(),
 		"request":   s.req.ID,
 		"content":   s.req.Content,
--- a/shell/relay/relay.go
+++ b/shell/relay/relay.go
@@ -200,7 +200,7 @@
 
 // Generate starts a generation; its session runs until it ends or is abandoned, whatever becomes of ctx.
 func (r *Relay) Generate(ctx context.Context, req *vaneyoke.Request) *Session {
-	need := placement.Need{Kind: vaneyoke.KindEngine, Model: req.Model, Order: req.Order, Bytes: req.PromptBytes}
+	need := placement.Need{Kind: vaneyoke.KindEngine, Model: req.Model, Order: req.Order, PromptBytes: req.PromptBytes}
 	return r.begin(ctx, req, need, modeOf(req))
 }
 
@@ -214,7 +214,7 @@
 
 // Call starts a call to a plain service.
 func (r *Relay) Call(ctx context.Context, req *vaneyoke.Request, service vaneyoke.ServiceID, path string, body []byte) *Session {
-	need := placement.Need{Kind: vaneyoke.KindService, Service: service, Order: req.Order, Bytes: len(body)}
+	need := placement.Need{Kind: vaneyoke.KindService, Service: service, Order: req.Order, PromptBytes: len(body)}
 	return r.begin(ctx, req, need, &whole{path: path, body: body})
 }
 
--- a/shell/relay/restore.go
+++ b/shell/relay/restore.go
@@ -65,7 +65,7 @@
 
 // Restore goes on with another node's session.
 func (r *Relay) Restore(ctx context.Context, req *vaneyoke.Request, saved Saved) *Session {
-	need := placement.Need{Kind: vaneyoke.KindEngine, Model: req.Model, Order: req.Order, Bytes: req.PromptBytes}
+	need := placement.Need{Kind: vaneyoke.KindEngine, Model: req.Model, Order: req.Order, PromptBytes: req.PromptBytes}
 	m := modeOf(req)
 	now := time.Now()
 	from := saved.Restored
