--- a/decide/placement/state.go
+++ b/decide/placement/state.go
@@ -304,9 +304,9 @@
 	case OutcomeFailed, OutcomeLost:
 		e.breaker.Failed(now)
 	case OutcomeDropped:
-		e.breaker.Dropped()
+		e.breaker.Inconclusive()
 	case OutcomeDeclined:
-		e.breaker.Dropped()
+		e.breaker.Inconclusive()
 		e.declines.add(now)
 	case OutcomeUnreachable:
 		e.breaker.Open(now)
--- a/decide/retry/breaker.go
+++ b/decide/retry/breaker.go
@@ -2,93 +2,96 @@
 
 import "time"
 
-// BreakerConfig holds the bounds of a circuit breaker.
+// BreakerConfig configures a circuit breaker.
 type BreakerConfig struct {
-	Failures int           // failures in a row that open the breaker
-	OpenFor  time.Duration // first pause before a trial
-	OpenMax  time.Duration // longest pause before a trial
+	Failures int           // consecutive failures that open the breaker
+	OpenFor  time.Duration // time before the first trial request
+	OpenMax  time.Duration // upper bound of the time before a trial request, which doubles with each failed trial
 }
 
-// DefaultBreakerConfig returns the settings that the nodes start from.
+// DefaultBreakerConfig returns the default settings of a node.
 func DefaultBreakerConfig() BreakerConfig {
 	return BreakerConfig{Failures: 3, OpenFor: 500 * time.Millisecond, OpenMax: 15 * time.Second}
 }
 
-// Breaker keeps new work from an upstream that fails in a row, and lets a single trial through after a growing pause.
+// Breaker is a circuit breaker for one upstream: it opens after consecutive failures, and lets a single trial request through after a pause
+// that grows exponentially.
 type Breaker struct {
-	cfg      BreakerConfig
-	failures int
-	opened   int // openings in a row without a success
-	until    time.Time
-	trial    bool
+	cfg           BreakerConfig
+	failures      int
+	openings      int // consecutive openings without a success; 0 while the breaker is closed
+	openUntil     time.Time
+	trialInFlight bool
 }
 
 // NewBreaker returns a closed breaker.
 func NewBreaker(cfg BreakerConfig) *Breaker { return &Breaker{cfg: cfg} }
 
-// Allows reports whether new work may be sent at now.
+// Allows reports whether a request may be sent at now.
 func (b *Breaker) Allows(now time.Time) bool { return b.AllowsAfter(now, 0) }
 
-// AllowsAfter reports whether work may be sent where a trial is left to others for a while longer.
-func (b *Breaker) AllowsAfter(now time.Time, longer time.Duration) bool {
-	if b.opened == 0 {
+// AllowsAfter is Allows with the trial of an open breaker put off by delay, for callers that leave the trial to others first.
+func (b *Breaker) AllowsAfter(now time.Time, delay time.Duration) bool {
+	if b.openings == 0 {
 		return true
 	}
-	return !b.trial && !now.Before(b.until.Add(longer))
+	return !b.trialInFlight && !now.Before(b.openUntil.Add(delay))
 }
 
-// IsOpen reports whether the breaker holds work back.
-func (b *Breaker) IsOpen() bool { return b.opened > 0 }
+// IsOpen reports whether the breaker is open.
+func (b *Breaker) IsOpen() bool { return b.openings > 0 }
 
-// HoldUntil holds work back until a time, after which a trial is let through; a trial under way counts for nothing.
+// HoldUntil opens the breaker until the given time, after which it lets a trial through. A trial in flight is disregarded.
 func (b *Breaker) HoldUntil(until time.Time) {
-	b.opened = max(b.opened, 1)
-	b.trial = false
-	if until.After(b.until) {
-		b.until = until
+	b.openings = max(b.openings, 1)
+	b.trialInFlight = false
+	if until.After(b.openUntil) {
+		b.openUntil = until
 	}
 }
 
-// Open holds work back at once, whatever came before.
+// Open opens the breaker immediately, regardless of earlier failures.
 func (b *Breaker) Open(now time.Time) {
-	if b.opened == 0 {
+	if b.openings == 0 {
 		b.failures = b.cfg.Failures
 	}
 	b.Failed(now)
 }
 
-// Sent notes that work was sent; on an open breaker it is the trial.
+// Sent records that a request was sent; on an open breaker whose pause is over, it is the trial.
 func (b *Breaker) Sent(now time.Time) {
-	if b.opened > 0 && !now.Before(b.until) {
-		b.trial = true
+	if b.openings > 0 && !now.Before(b.openUntil) {
+		b.trialInFlight = true
 	}
 }
 
-// Succeeded closes the breaker.
+// Succeeded records a success, which closes the breaker.
 func (b *Breaker) Succeeded() {
 	b.failures = 0
-	b.opened = 0
-	b.trial = false
+	b.openings = 0
+	b.trialInFlight = false
 }
 
-// Dropped notes that sent work ended without a word on the upstream's health, so that the next trial may go.
-func (b *Breaker) Dropped() { b.trial = false }
+// Inconclusive records that a request ended without telling whether the upstream is healthy, so that another trial may be sent.
+func (b *Breaker) Inconclusive() { b.trialInFlight = false }
 
-// Failed counts a failure, and opens the breaker or keeps it open.
+// Failed records a failure, which may open the breaker. A failed trial opens it again for longer; failures of requests that were sent before it
+// opened have no effect.
 func (b *Breaker) Failed(now time.Time) {
 	b.failures++
-	if b.opened == 0 && b.failures < b.cfg.Failures {
+	if b.openings == 0 && b.failures < b.cfg.Failures {
 		return
 	}
-	if b.opened > 0 && !b.trial {
+	if b.openings > 0 && !b.trialInFlight {
 		return
 	}
-	b.trial = false
-	b.opened++
-	b.until = now.Add(b.pause())
+	b.trialInFlight = false
+	b.openings++
+	b.openUntil = now.Add(b.openDuration())
 }
 
-func (b *Breaker) pause() time.Duration {
-	shift := min(b.opened-1, 16)
+// openDuration returns how long the breaker stays open before the next trial.
+func (b *Breaker) openDuration() time.Duration {
+	shift := min(b.openings-1, 16)
 	return min(b.cfg.OpenFor<<shift, b.cfg.OpenMax)
 }
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -2,95 +2,96 @@
 
 import "time"
 
-// BudgetConfig holds the bounds of a retry budget.
+// BudgetConfig configures a retry budget.
 type BudgetConfig struct {
-	Ratio     float64 // retries allowed for each admitted request
-	PerSecond float64 // retries allowed each second whatever the traffic
-	Burst     float64 // retries that can be saved up
-	// Window is the time over which retries are held against requests, none of which are saved up then beyond Burst;
-	// 0 for no window.
+	Ratio     float64 // retries earned by each admitted request
+	PerSecond float64 // retries earned each second regardless of traffic
+	Burst     float64 // retries that can be accumulated
+	// Window, if not 0, bounds the retries of each window by the requests of the same window: nothing is accumulated
+	// beyond Burst, and PerSecond has no effect.
 	Window time.Duration
 }
 
-// DefaultBudgetConfig returns the settings that the nodes start from.
+// DefaultBudgetConfig returns the default settings of a node.
 func DefaultBudgetConfig() BudgetConfig {
 	return BudgetConfig{Ratio: 0.2, PerSecond: 10, Burst: 500}
 }
 
-// Budget bounds the retries of one node, so that a failing data centre does not multiply its load.
+// Budget bounds the retries of one node, so that retries don't multiply the load when a data centre fails.
 type Budget struct {
-	cfg  BudgetConfig
-	left float64
-	last time.Time
+	cfg        BudgetConfig
+	tokens     float64
+	refilledAt time.Time
 
-	admitted, taken window // where the budget goes by a window
+	requests, retries slidingWindow // used if Window is set
 }
 
 // NewBudget returns a full budget.
 func NewBudget(cfg BudgetConfig) *Budget {
-	b := &Budget{cfg: cfg, left: cfg.Burst}
-	b.admitted.length, b.taken.length = cfg.Window, cfg.Window
+	b := &Budget{cfg: cfg, tokens: cfg.Burst}
+	b.requests.length, b.retries.length = cfg.Window, cfg.Window
 	return b
 }
 
-// SetBurst changes how many retries can be saved up; what was saved beyond that is lost.
+// SetBurst changes how many retries can be accumulated; those beyond the new bound are lost.
 func (b *Budget) SetBurst(burst float64) {
 	b.cfg.Burst = burst
-	b.left = min(b.left, burst)
+	b.tokens = min(b.tokens, burst)
 }
 
-// Admit earns the share of a retry that an admitted request brings.
+// Admit adds the Ratio that an admitted request earns.
 func (b *Budget) Admit(now time.Time) {
 	if b.cfg.Window > 0 {
-		b.admitted.add(now)
+		b.requests.add(now)
 		return
 	}
-	b.left = min(b.left+b.cfg.Ratio, b.cfg.Burst)
+	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Burst)
 }
 
-// Take spends one retry and reports whether there was one.
+// Take spends one retry, and reports whether one was available.
 func (b *Budget) Take(now time.Time) bool {
 	if b.cfg.Window > 0 {
 		return b.takeInWindow(now)
 	}
 	b.refill(now)
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// Left returns how many retries there are.
+// Left returns how many retries are available.
 func (b *Budget) Left(now time.Time) float64 {
 	if b.cfg.Window > 0 {
-		return max(b.cfg.Burst+b.cfg.Ratio*b.admitted.sum(now)-b.taken.sum(now), 0)
+		return max(b.cfg.Burst+b.cfg.Ratio*b.requests.sum(now)-b.retries.sum(now), 0)
 	}
 	b.refill(now)
-	return b.left
+	return b.tokens
 }
 
-// GiveBack undoes the latest Take, because the retry never reached an upstream.
+// GiveBack undoes the latest Take, for a retry that never reached an upstream.
 func (b *Budget) GiveBack(now time.Time) {
 	if b.cfg.Window > 0 {
-		b.taken.takeBack(now)
+		b.retries.removeLatest(now)
 		return
 	}
-	b.left = min(b.left+1, b.cfg.Burst)
+	b.tokens = min(b.tokens+1, b.cfg.Burst)
 }
 
+// refill adds the retries that PerSecond has earned since the last call.
 func (b *Budget) refill(now time.Time) {
-	if !b.last.IsZero() && now.After(b.last) {
-		b.left = min(b.left+b.cfg.PerSecond*now.Sub(b.last).Seconds(), b.cfg.Burst)
+	if !b.refilledAt.IsZero() && now.After(b.refilledAt) {
+		b.tokens = min(b.tokens+b.cfg.PerSecond*now.Sub(b.refilledAt).Seconds(), b.cfg.Burst)
 	}
-	b.last = now
+	b.refilledAt = now
 }
 
-// takeInWindow spends a retry where those of the window, this one among them, stay within the share of its requests.
+// takeInWindow spends a retry if the retries of the window, including this one, stay within what its requests allow.
 func (b *Budget) takeInWindow(now time.Time) bool {
 	if b.Left(now) < 1 {
 		return false
 	}
-	b.taken.add(now)
+	b.retries.add(now)
 	return true
 }
--- a/decide/retry/clock_test.go
+++ b/decide/retry/clock_test.go
@@ -5,7 +5,7 @@
 	"unsafe"
 )
 
-// clockTime is how package time lays out a Time: with a steady reading, the upper bits of wall hold seconds of the time of day.
+// clockTime mirrors the memory layout of time.Time: with a monotonic reading, the upper bits of wall hold the seconds of the wall clock.
 type clockTime struct {
 	wall uint64
 	ext  int64
@@ -14,8 +14,8 @@
 
 const nanosecondBits = 30
 
-// shifted returns t with another time of day and the same steady reading, as a clock gives it that was set meanwhile.
-func shifted(t time.Time, by time.Duration) time.Time {
+// shiftWallClock returns t with its wall clock shifted and the same monotonic reading, as time.Now returns it after the wall clock was set.
+func shiftWallClock(t time.Time, by time.Duration) time.Time {
 	c := (*clockTime)(unsafe.Pointer(&t))
 	c.wall = uint64(int64(c.wall) + int64(by/time.Second)<<nanosecondBits)
 	return t
--- a/decide/retry/doc.go
+++ b/decide/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry decides, without I/O, when work may be tried again and when an upstream is left alone.
+// Package retry implements retry budgets and circuit breakers. It does no I/O and has no clock of its own.
 package retry
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -13,22 +13,22 @@
 
 func TestBreaker(t *testing.T) {
 	fail := func(b *retry.Breaker, now time.Time) { b.Failed(now) }
-	sent := func(b *retry.Breaker, now time.Time) { b.Sent(now) }
-	good := func(b *retry.Breaker, _ time.Time) { b.Succeeded() }
-	drop := func(b *retry.Breaker, _ time.Time) { b.Dropped() }
+	send := func(b *retry.Breaker, now time.Time) { b.Sent(now) }
+	succeed := func(b *retry.Breaker, _ time.Time) { b.Succeeded() }
+	inconclusive := func(b *retry.Breaker, _ time.Time) { b.Inconclusive() }
 	type step struct {
 		after time.Duration
 		act   func(*retry.Breaker, time.Time)
-		open  bool // whether work is held back after the step
+		open  bool // whether the breaker refuses requests after the step
 	}
 	cases := map[string][]step{
-		"opens after three":         {{0, fail, false}, {0, fail, false}, {0, fail, true}},
-		"a success between":         {{0, fail, false}, {0, fail, false}, {0, good, false}, {0, fail, false}},
-		"one trial at a time":       {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, sent, true}},
-		"trial succeeds":            {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, sent, true}, {0, good, false}},
-		"trial fails, longer pause": {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, sent, true}, {0, fail, true}, {900 * time.Millisecond, drop, true}, {200 * time.Millisecond, drop, false}},
-		"late failures do not add":  {{0, fail, false}, {0, fail, false}, {0, fail, true}, {0, fail, true}, {600 * time.Millisecond, drop, false}},
-		"trial ends without a word": {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, sent, true}, {0, drop, false}},
+		"three failures open it":            {{0, fail, false}, {0, fail, false}, {0, fail, true}},
+		"a success resets the count":        {{0, fail, false}, {0, fail, false}, {0, succeed, false}, {0, fail, false}},
+		"one trial at a time":               {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, send, true}},
+		"trial succeeds":                    {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, send, true}, {0, succeed, false}},
+		"failed trial doubles the pause":    {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, send, true}, {0, fail, true}, {900 * time.Millisecond, inconclusive, true}, {200 * time.Millisecond, inconclusive, false}},
+		"late failures have no effect":      {{0, fail, false}, {0, fail, false}, {0, fail, true}, {0, fail, true}, {600 * time.Millisecond, inconclusive, false}},
+		"inconclusive trial allows another": {{0, fail, false}, {0, fail, false}, {0, fail, true}, {time.Second, send, true}, {0, inconclusive, false}},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestBudgetBoundsAStorm loses a data centre: each request wants to be tried again, ten times as often as requests come.
-func TestBudgetBoundsAStorm(t *testing.T) {
+// TestBudgetBoundsRetryStorm simulates the loss of a data centre, where each admitted request attempts ten retries.
+func TestBudgetBoundsRetryStorm(t *testing.T) {
 	const requests, seconds = 100, 60
 	b := retry.NewBudget(retry.DefaultBudgetConfig())
 	retries, now := 0, start
@@ -57,13 +57,13 @@
 			}
 		}
 	}
-	// A fifth of the requests, ten a second and what was saved up.
+	// A fifth of the requests, ten retries a second and the initial burst.
 	must.LessEq(t, requests*seconds/5+10*seconds+500+1, retries)
 	must.Greater(t, requests*seconds/5, retries)
 }
 
-// TestWindowedBudget holds the retries of every span of a window's length against the requests of that span, through a
-// quiet time, a storm and a pause.
+// TestWindowedBudget checks that the retries within any window stay within what the requests of the same window allow:
+// with requests only, with requests and retries, while idle, and with retries only.
 func TestWindowedBudget(t *testing.T) {
 	const window = 10 * time.Second
 	config := retry.BudgetConfig{Ratio: 0.5, Burst: 3, Window: window}
@@ -72,7 +72,7 @@
 	now := start
 	for step := range 60_000 {
 		now = now.Add(time.Millisecond)
-		phase := step / 15_000 // quiet, storm, pause, storm without requests
+		phase := step / 15_000 // requests only, requests and retries, idle, retries only
 		if phase < 2 && step%100 == 0 {
 			b.Admit(now)
 			admitted = append(admitted, now)
@@ -90,26 +90,26 @@
 		}
 		return n
 	}
-	const slack = 1 // parts of a window are counted whole: up to half a second more of requests
+	const slack = 1 // whole slots are counted: up to half a second more of requests
 	for _, at := range taken {
 		requests := within(admitted, at.Add(-window-window/20), at)
 		retries := within(taken, at.Add(-window), at.Add(time.Nanosecond))
 		must.LessEq(t, config.Burst+config.Ratio*float64(requests)+slack, float64(retries))
 	}
-	// The storm uses what its own requests allow, without having saved up for it.
-	storm := within(taken, start.Add(15*time.Second), start.Add(25*time.Second))
-	must.GreaterEq(t, 45, storm)
+	// Retries use what the requests of the same phase allow: nothing was accumulated before.
+	stormRetries := within(taken, start.Add(15*time.Second), start.Add(25*time.Second))
+	must.GreaterEq(t, 45, stormRetries)
 }
 
-// TestWindowGoesByTheSteadyClock sets the time of day back and forth, which leaves the steady clock as it is; a window
-// that went by the time of day would stand still or be emptied.
-func TestWindowGoesByTheSteadyClock(t *testing.T) {
+// TestWindowUsesMonotonicClock sets the wall clock forward and back while the monotonic clock goes on. A window that
+// used the wall clock would stop advancing or be emptied.
+func TestWindowUsesMonotonicClock(t *testing.T) {
 	began := time.Now()
-	set := shifted(began, time.Hour)
-	must.EqOp(t, 0, set.Sub(began))
-	must.EqOp(t, 3600, set.Unix()-began.Unix())
+	wallSet := shiftWallClock(began, time.Hour)
+	must.EqOp(t, 0, wallSet.Sub(began))
+	must.EqOp(t, 3600, wallSet.Unix()-began.Unix())
 	b := retry.NewBudget(retry.BudgetConfig{Burst: 2, Window: 10 * time.Second})
-	at := func(steady, timeOfDay time.Duration) time.Time { return shifted(began.Add(steady), timeOfDay) }
+	at := func(elapsed, wallShift time.Duration) time.Time { return shiftWallClock(began.Add(elapsed), wallShift) }
 	must.True(t, b.Take(at(0, 0)))
 	must.True(t, b.Take(at(time.Second, time.Hour)))
 	must.False(t, b.Take(at(2*time.Second, time.Hour)))
@@ -117,12 +117,12 @@
 	must.True(t, b.Take(at(12*time.Second, -time.Hour)))
 }
 
-// TestRetryThatWasNotSentIsGivenBack holds that a retry which was taken and given back can be taken again, and that no more than what
-// was taken can be given back.
-func TestRetryThatWasNotSentIsGivenBack(t *testing.T) {
+// TestUnsentRetryCanBeTakenAgain checks that a retry which was taken and given back can be taken again, and that GiveBack without a
+// Take adds nothing.
+func TestUnsentRetryCanBeTakenAgain(t *testing.T) {
 	for name, cfg := range map[string]retry.BudgetConfig{
-		"saved up": {Burst: 2},
-		"window":   {Burst: 2, Window: 10 * time.Second},
+		"accumulated retries": {Burst: 2},
+		"window":              {Burst: 2, Window: 10 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := retry.NewBudget(cfg)
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestLeftIsWhatCanBeTaken takes retries until there are none.
-func TestLeftIsWhatCanBeTaken(t *testing.T) {
-	for name, window := range map[string]time.Duration{"saved up": 0, "by a window": 10 * time.Second} {
+// TestLeftMatchesSuccessfulTakes takes retries until none are left, and compares their number with what Left returned.
+func TestLeftMatchesSuccessfulTakes(t *testing.T) {
+	for name, window := range map[string]time.Duration{"accumulated retries": 0, "in a window": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			b := retry.NewBudget(retry.BudgetConfig{Ratio: 0.5, PerSecond: 1, Burst: 20, Window: window})
 			now := start
--- a/decide/retry/window.go
+++ b/decide/retry/window.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// windowSlots is how many parts a window is counted in.
+// windowSlots is the number of slots that a window is divided into.
 const windowSlots = 20
 
-// window counts what happened in the last while, part by part.
-type window struct {
-	length time.Duration
-	slots  [windowSlots + 1]float64 // by the number of their part; the part under way is the last
-	start  time.Time                // of the count; later times are held against it on the steady clock
-	part   int64                    // number of the part under way
+// slidingWindow counts events within a window of time, in slots: those of the window and the one in progress.
+type slidingWindow struct {
+	length  time.Duration
+	slots   [windowSlots + 1]float64 // ring of counts, indexed by slot number
+	start   time.Time                // of slot 0; slot numbers follow from the monotonic time since then
+	current int64                    // number of the slot in progress
 }
 
-// add counts something at now.
-func (w *window) add(now time.Time) {
+// add counts an event at now.
+func (w *slidingWindow) add(now time.Time) {
 	w.advance(now)
-	w.slots[w.part%int64(len(w.slots))]++
+	w.slots[w.current%int64(len(w.slots))]++
 }
 
-// sum returns the count over the last whole parts and the one under way: the window and up to a part more.
-func (w *window) sum(now time.Time) float64 {
+// sum returns the count over the last windowSlots complete slots and the one in progress: the window plus up to one slot.
+func (w *slidingWindow) sum(now time.Time) float64 {
 	w.advance(now)
 	total := 0.0
 	for _, n := range w.slots {
@@ -29,26 +29,27 @@
 	return total
 }
 
-func (w *window) advance(now time.Time) {
+// advance clears the slots that have begun since the last call.
+func (w *slidingWindow) advance(now time.Time) {
 	if w.start.IsZero() {
 		w.start = now
 	}
-	part := int64(now.Sub(w.start) / (w.length / windowSlots))
-	for ; w.part < part; w.part++ {
-		if part-w.part > int64(len(w.slots)) {
-			w.part = part - int64(len(w.slots))
+	current := int64(now.Sub(w.start) / (w.length / windowSlots))
+	for ; w.current < current; w.current++ {
+		if current-w.current > int64(len(w.slots)) {
+			w.current = current - int64(len(w.slots))
 		}
-		w.slots[(w.part+1)%int64(len(w.slots))] = 0
+		w.slots[(w.current+1)%int64(len(w.slots))] = 0
 	}
 }
 
-// takeBack takes the latest event out of the count, where there is one.
-func (w *window) takeBack(now time.Time) {
+// removeLatest removes the latest event from the count, if there is one.
+func (w *slidingWindow) removeLatest(now time.Time) {
 	w.advance(now)
 	size := int64(len(w.slots))
-	for part := w.part; part > w.part-size && part >= 0; part-- {
-		if w.slots[part%size] > 0 {
-			w.slots[part%size]--
+	for slot := w.current; slot > w.current-size && slot >= 0; slot-- {
+		if w.slots[slot%size] > 0 {
+			w.slots[slot%size]--
 			return
 		}
 	}
