--- a/decide/ratelimit/bucket.go
+++ b/decide/ratelimit/bucket.go
@@ -7,56 +7,56 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// bucket holds the permits that a keeper has to give.
+// bucket is the token bucket from which an owner grants permits. It holds at most one token plus those of one second.
 type bucket struct {
-	permits float64
-	at      time.Time // as of which they are counted; before it none come
-	turn    time.Time // when the last one who was told to come back is to do so
-	askedAt time.Time // when a permit was wanted last
+	tokens      float64
+	refilledAt  time.Time // time of the last refill; if in the future, no tokens are added until then
+	lastRetry   time.Time // latest retry time that was given out
+	lastRequest time.Time // when a permit was last requested
 }
 
-// fill counts the permits that came until now at a rate; what is not used within a second is not kept, but for one.
-func (b *bucket) fill(now time.Time, rate vaneyoke.PerSecond) {
-	if now.After(b.at) {
-		b.permits += float64(rate) * now.Sub(b.at).Seconds()
-		b.at = now
+// refill adds the tokens since the last refill, up to the capacity of the bucket.
+func (b *bucket) refill(now time.Time, rate vaneyoke.PerSecond) {
+	if now.After(b.refilledAt) {
+		b.tokens += float64(rate) * now.Sub(b.refilledAt).Seconds()
+		b.refilledAt = now
 	}
-	b.permits = min(b.permits, 1+float64(rate))
+	b.tokens = min(b.tokens, 1+float64(rate))
 }
 
-// take takes a permit, and reports whether there was one.
+// take takes a token, and reports whether there was one.
 func (b *bucket) take(now time.Time, rate vaneyoke.PerSecond) bool {
-	b.fill(now, rate)
-	b.askedAt = now
-	if b.permits < 1 {
+	b.refill(now, rate)
+	b.lastRequest = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.permits--
+	b.tokens--
 	return true
 }
 
-// next returns how long it takes until there is a permit.
-func (b *bucket) next(now time.Time, rate vaneyoke.PerSecond) time.Duration {
-	b.fill(now, rate)
-	return max(b.at.Sub(now), 0) + lasting(1-b.permits, rate)
+// untilAvailable returns the time until the next token.
+func (b *bucket) untilAvailable(now time.Time, rate vaneyoke.PerSecond) time.Duration {
+	b.refill(now, rate)
+	return max(b.refilledAt.Sub(now), 0) + timeFor(1-b.tokens, rate)
 }
 
-// comeBack returns when one who gets no permit now is to come back: after those who were told so before.
-func (b *bucket) comeBack(now time.Time, rate vaneyoke.PerSecond) time.Duration {
-	b.turn = latest(now.Add(b.next(now, rate)), b.turn.Add(lasting(1, rate)))
-	if most := now.Add(longestTurn); b.turn.After(most) {
-		b.turn = most
+// reserveRetry returns the retry-after time of a refused requester, spaced after those that were refused earlier.
+func (b *bucket) reserveRetry(now time.Time, rate vaneyoke.PerSecond) time.Duration {
+	b.lastRetry = later(now.Add(b.untilAvailable(now, rate)), b.lastRetry.Add(timeFor(1, rate)))
+	if limit := now.Add(maxRetryAfter); b.lastRetry.After(limit) {
+		b.lastRetry = limit
 	}
-	return b.turn.Sub(now)
+	return b.lastRetry.Sub(now)
 }
 
-// lasting returns how long so many requests take at a rate, at most longestTurn.
-func lasting(requests float64, rate vaneyoke.PerSecond) time.Duration {
-	seconds := min(max(requests, 0)/float64(rate), longestTurn.Seconds())
+// timeFor returns the time that a number of requests takes at a rate, at most maxRetryAfter.
+func timeFor(requests float64, rate vaneyoke.PerSecond) time.Duration {
+	seconds := min(max(requests, 0)/float64(rate), maxRetryAfter.Seconds())
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/decide/ratelimit/event.go
+++ b/decide/ratelimit/event.go
@@ -6,138 +6,138 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// PermitID names a permit that this node wants.
+// PermitID identifies an attempt of this node to acquire a permit.
 type PermitID uint64
 
-// Notice is what a node knows of an upstream's limit, as it is told on.
+// Notice is a node's knowledge of an upstream's limit, as sent to other nodes.
 type Notice struct {
 	Upstream    vaneyoke.UpstreamID  `json:"u"`
 	Incarnation vaneyoke.Incarnation `json:"i,omitempty"`
 	Limit       vaneyoke.Limit       `json:"l"`
-	AgeMs       int64                `json:"a"` // since the upstream said so
+	AgeMs       int64                `json:"a"` // since the upstream declared it
 }
 
-// Question asks a keeper for a permit.
-type Question struct {
-	Number uint64 `json:"n"` // among those of who asks
+// PermitRequest asks an owner of a limit for a permit.
+type PermitRequest struct {
+	Seq    uint64 `json:"n"` // sequence number of the requesting node
 	Notice Notice `json:"notice"`
-	Ping   bool   `json:"ping,omitempty"` // whether no permit is wanted, but to know whether the keeper is there
+	Ping   bool   `json:"ping,omitempty"` // only checks that the owner responds, without asking for a permit
 }
 
-// Answer is a keeper's answer to a question.
-type Answer struct {
-	Number  uint64 `json:"n"`
-	Granted bool   `json:"granted"`
-	NextMs  int64  `json:"next"` // until the keeper has another permit
-	TurnMs  int64  `json:"turn"` // until those have been served who were told to come back before
-	Notice  Notice `json:"notice"`
+// PermitResponse is an owner's response to a PermitRequest.
+type PermitResponse struct {
+	Seq           uint64 `json:"n"`
+	Granted       bool   `json:"granted"`
+	AvailableInMs int64  `json:"next"` // time until the owner has another permit
+	RetryAfterMs  int64  `json:"turn"` // time until those who were refused earlier have been served
+	Notice        Notice `json:"notice"`
 }
 
 // Member is a node of the fleet.
 type Member struct {
-	VM         vaneyoke.VMID
-	DataCentre vaneyoke.DataCentreID
-	Keeps      bool // whether its build keeps limits
+	VM             vaneyoke.VMID
+	DataCentre     vaneyoke.DataCentreID
+	SupportsLimits bool // whether its build takes part in rate limiting
 }
 
-// Event is something that a node learns.
+// Event is an input of State.Handle.
 type Event interface{ event() }
 
-// Members tells the nodes of the fleet as they are registered.
-type Members struct{ All []Member }
+// MembersUpdated reports all registered nodes of the fleet.
+type MembersUpdated struct{ All []Member }
 
-// Neighbours tells the nodes next to this one in the tree by which the store's tables are told.
-type Neighbours struct{ VMs []vaneyoke.VMID }
+// NeighboursUpdated reports the neighbours of this node in the tree over which the store's tables are distributed.
+type NeighboursUpdated struct{ VMs []vaneyoke.VMID }
 
-// Upstreams tells the upstreams that are listed.
-type Upstreams struct{ All []vaneyoke.Upstream }
+// UpstreamsUpdated reports all listed upstreams.
+type UpstreamsUpdated struct{ All []vaneyoke.Upstream }
 
-// Answered tells the limit that an upstream named in an answer to this node, the zero value for none.
-type Answered struct {
+// LimitObserved reports the limit that an upstream declared in a response to this node, the zero value for none.
+type LimitObserved struct {
 	Upstream vaneyoke.Upstream
 	Limit    vaneyoke.Limit
 	SentAt   time.Time // when the request was sent
 }
 
-// Told tells what another node knows.
-type Told struct {
+// NoticesReceived reports notices from another node.
+type NoticesReceived struct {
 	From    vaneyoke.VMID
 	Notices []Notice
 }
 
-// Asked says that another node wants a permit.
-type Asked struct {
-	From     vaneyoke.VMID
-	Question Question
+// PermitRequested reports another node's request for a permit.
+type PermitRequested struct {
+	From    vaneyoke.VMID
+	Request PermitRequest
 }
 
-// Replied says how a keeper answered.
-type Replied struct {
-	From   vaneyoke.VMID
-	Answer Answer
+// PermitResponded reports an owner's response.
+type PermitResponded struct {
+	From     vaneyoke.VMID
+	Response PermitResponse
 }
 
-// Want says that this node wants to send something to an upstream.
-type Want struct {
+// AcquirePermit asks for a permit to send a request to an upstream.
+type AcquirePermit struct {
 	ID       PermitID
 	Upstream vaneyoke.UpstreamID
 }
 
-// Tick says that the time has come that State.Next told.
+// Tick reports that the time returned by State.NextTick has come.
 type Tick struct{}
 
-func (Members) event()    {}
-func (Neighbours) event() {}
-func (Upstreams) event()  {}
-func (Answered) event()   {}
-func (Told) event()       {}
-func (Asked) event()      {}
-func (Replied) event()    {}
-func (Want) event()       {}
-func (Tick) event()       {}
-
-// Effect is something that the node has to do.
+func (MembersUpdated) event()    {}
+func (NeighboursUpdated) event() {}
+func (UpstreamsUpdated) event()  {}
+func (LimitObserved) event()     {}
+func (NoticesReceived) event()   {}
+func (PermitRequested) event()   {}
+func (PermitResponded) event()   {}
+func (AcquirePermit) event()     {}
+func (Tick) event()              {}
+
+// Effect is an action that State.Handle asks its caller to carry out.
 type Effect interface{ effect() }
 
-// Tell has the node tell another, who need not answer.
-type Tell struct {
+// SendNotices sends notices to another node, which does not respond.
+type SendNotices struct {
 	To      vaneyoke.VMID
 	Notices []Notice
 }
 
-// Ask has the node ask a keeper.
-type Ask struct {
-	To       vaneyoke.VMID
-	Question Question
+// SendPermitRequest sends a request to an owner of a limit.
+type SendPermitRequest struct {
+	To      vaneyoke.VMID
+	Request PermitRequest
 }
 
-// Reply has the node answer another.
-type Reply struct {
-	To     vaneyoke.VMID
-	Answer Answer
+// SendPermitResponse responds to another node's request.
+type SendPermitResponse struct {
+	To       vaneyoke.VMID
+	Response PermitResponse
 }
 
-// Decide tells what became of a permit that was wanted.
-type Decide struct {
-	ID      PermitID
-	Granted bool
-	Next    time.Duration // until a keeper has another, where it was not granted
-	Turn    time.Duration // until those have been served who were told to come back before
+// PermitDecided reports the outcome of an AcquirePermit.
+type PermitDecided struct {
+	ID          PermitID
+	Granted     bool
+	AvailableIn time.Duration // if not granted: time until an owner has another permit
+	RetryAfter  time.Duration // if not granted: time until those who were refused earlier have been served
 }
 
-// Believe has the node take an upstream's limit for true.
-type Believe struct {
+// LimitUpdated reports that an upstream's limit as known to this node has changed.
+type LimitUpdated struct {
 	Notice Notice
-	By     vaneyoke.VMID // who told, "" where the upstream told this node
+	From   vaneyoke.VMID // the node whose notice it was; "" if the limit was not learned from another node
 }
 
-// Suspect has the node find out whether another is there that has given no permit for long, and take it off the members where it is not: what it
-// would give is lost until then.
-type Suspect struct{ VM vaneyoke.VMID }
+// CheckLiveness asks for a check of a node that has not responded for long, and for its removal from the members if it accepts no connections.
+// Until then, the permits that it would grant are lost.
+type CheckLiveness struct{ VM vaneyoke.VMID }
 
-func (Tell) effect()    {}
-func (Suspect) effect() {}
-func (Ask) effect()     {}
-func (Reply) effect()   {}
-func (Decide) effect()  {}
-func (Believe) effect() {}
+func (SendNotices) effect()        {}
+func (CheckLiveness) effect()      {}
+func (SendPermitRequest) effect()  {}
+func (SendPermitResponse) effect() {}
+func (PermitDecided) effect()      {}
+func (LimitUpdated) effect()       {}
--- a/decide/ratelimit/fleet_test.go
+++ b/decide/ratelimit/fleet_test.go
@@ -13,39 +13,39 @@
 	"github.com/vaneyoke/vaneyoke/decide/ratelimit"
 )
 
-var worlds = flag.Uint64("worlds", 1, "how many worlds of each kind are played")
+var simulations = flag.Uint64("worlds", 1, "number of simulations of each fault and fleet size")
 
 const (
-	window     = 4 * time.Second
-	share      = 1.5             // of the limit, that an upstream may get within the window
-	over       = 5               // requests beyond that
-	knownAfter = time.Second     // from when a limit is named on; after it the window may hold no more
-	namedAt    = 4 * time.Second // from the beginning
-	lasts      = 28 * time.Second
-	atLast     = 12 * time.Second // in which it counts what is used
+	window        = 4 * time.Second
+	maxOvershoot  = 1.5             // multiple of the limit that an upstream may receive within a window
+	maxExcess     = 5               // requests allowed beyond that
+	propagation   = time.Second     // time after a limit is declared or changed from which on windows must keep it
+	declaredAfter = 4 * time.Second // after the start of the simulation
+	runTime       = 28 * time.Second
+	finalPhase    = 12 * time.Second // over which the utilization is measured
 )
 
-// most returns by how many requests at the most an upstream got more than is allowed within a window, and how many it got in one; for a
-// while after a change the higher limit holds.
-func (u *upstream) most(end time.Time) (beyond float64, got int) {
-	beyond = -1e9
+// worstWindow returns the largest number of requests beyond the allowed ones that an upstream received within a window, negative if it stayed
+// below, and the largest number received in one. For a while after a change, the higher limit applies.
+func (u *upstream) worstWindow(end time.Time) (excess float64, received int) {
+	excess = -1e9
 	first := 0
 	for i, at := range u.arrivals {
 		for at.Sub(u.arrivals[first]) > window {
 			first++
 		}
-		rate, named := u.highest(u.arrivals[first].Add(-knownAfter), at)
-		if !named || at.After(end) {
+		rate, declared := u.highestLimit(u.arrivals[first].Add(-propagation), at)
+		if !declared || at.After(end) {
 			continue
 		}
-		got = max(got, i-first+1)
-		beyond = max(beyond, float64(i-first+1)-share*rate*window.Seconds()-over)
+		received = max(received, i-first+1)
+		excess = max(excess, float64(i-first+1)-maxOvershoot*rate*window.Seconds()-maxExcess)
 	}
-	return beyond, got
+	return excess, received
 }
 
-// highest returns the highest limit that held between two times; named is false where none held at some time between them.
-func (u *upstream) highest(from, to time.Time) (rate float64, named bool) {
+// highestLimit returns the highest limit that was in force between two times; declared is false if none was at some time between them.
+func (u *upstream) highestLimit(from, to time.Time) (rate float64, declared bool) {
 	if len(u.limits) == 0 || u.limits[0].at.After(from) {
 		return 0, false
 	}
@@ -61,202 +61,203 @@
 	return rate, true
 }
 
-// used returns the share of what an upstream offered between two times that it got.
-func (u *upstream) used(from, to time.Time) float64 {
-	got := 0
+// utilization returns the requests that an upstream received between two times as a share of those that its limit allows.
+func (u *upstream) utilization(from, to time.Time) float64 {
+	received := 0
 	for _, at := range u.arrivals {
 		if at.After(from) && !at.After(to) {
-			got++
+			received++
 		}
 	}
-	return float64(got) / (float64(u.limit().Rate) * to.Sub(from).Seconds())
+	return float64(received) / (float64(u.limit().Rate) * to.Sub(from).Seconds())
 }
 
-// trouble is what befalls a fleet, beginning when the limits have been named for a while.
-type trouble struct {
-	set    func(w *world)
-	strike func(w *world)
-	large  bool          // whether the largest fleet is played each time, and not only where several worlds are
-	more   time.Duration // for which it is played longer
-	used   float64       // share of what is offered that is used at the least, in the end; 0 where it does not count
+// fault is a scenario that is injected into a simulated fleet some time after limits were declared.
+type fault struct {
+	configure      func(s *simulation)
+	inject         func(s *simulation)
+	largeFleet     bool          // simulate the largest fleet even if only one simulation each is run
+	extraTime      time.Duration // added to runTime
+	minUtilization float64       // required in finalPhase; 0 for none
 }
 
-var troubles = map[string]trouble{
-	"none":                      {large: true, used: 0.85},
-	"one node has all calls":    {large: true, set: func(w *world) { w.only = 0 }, used: 0.85},
-	"more calls than are taken": {large: true, set: func(w *world) { w.rate = 200 }, used: 0.85},
-	"all upstreams name limits": {set: func(w *world) { w.rate = 60 }, strike: func(w *world) { w.name(w.upstreams[2], 5) }, used: 0.85},
-	"nodes start again": {strike: func(w *world) {
+var faults = map[string]fault{
+	"none":                             {largeFleet: true, minUtilization: 0.85},
+	"one node receives all calls":      {largeFleet: true, configure: func(s *simulation) { s.onlyNode = 0 }, minUtilization: 0.85},
+	"more calls than the limits allow": {largeFleet: true, configure: func(s *simulation) { s.callRate = 200 }, minUtilization: 0.85},
+	"all upstreams declare limits":     {configure: func(s *simulation) { s.callRate = 60 }, inject: func(s *simulation) { s.declareLimit(s.upstreams[2], 5) }, minUtilization: 0.85},
+	"nodes restart": {inject: func(s *simulation) {
 		for i := range 10 {
-			w.at(8*time.Second+time.Duration(i)*700*time.Millisecond, func() {
-				for _, n := range w.some(0.2) {
-					w.kill(n, false)
+			s.atTime(8*time.Second+time.Duration(i)*700*time.Millisecond, func() {
+				for _, n := range s.sampleNodes(0.2) {
+					s.stopNode(n, false)
 				}
 			})
 		}
 	}},
-	"all nodes start again": {strike: func(w *world) {
-		for _, n := range w.nodes {
-			w.kill(n, false)
+	"all nodes restart": {inject: func(s *simulation) {
+		for _, n := range s.nodes {
+			s.stopNode(n, false)
 		}
 	}},
-	"all nodes start again among many calls": {large: true, set: func(w *world) { w.rate = 200 }, strike: func(w *world) {
-		for _, n := range w.nodes {
-			w.kill(n, false)
+	"all nodes restart under high load": {largeFleet: true, configure: func(s *simulation) { s.callRate = 200 }, inject: func(s *simulation) {
+		for _, n := range s.nodes {
+			s.stopNode(n, false)
 		}
-	}, used: 0.85},
-	"nodes stand still": {strike: func(w *world) {
+	}, minUtilization: 0.85},
+	"nodes freeze": {inject: func(s *simulation) {
 		for i := range 6 {
-			w.at(8*time.Second+time.Duration(i)*900*time.Millisecond, func() {
-				for _, n := range w.some(0.4) {
-					w.freeze(n, 2500*time.Millisecond)
+			s.atTime(8*time.Second+time.Duration(i)*900*time.Millisecond, func() {
+				for _, n := range s.sampleNodes(0.4) {
+					s.freezeNode(n, 2500*time.Millisecond)
 				}
 			})
 		}
 	}},
-	"nodes are cut off": {large: true, strike: func(w *world) {
+	"nodes are partitioned": {largeFleet: true, inject: func(s *simulation) {
 		for i := range 4 {
-			w.at(8*time.Second+time.Duration(i)*2*time.Second, func() {
-				for _, n := range w.some(0.4) {
-					w.cut(n, 3*time.Second)
+			s.atTime(8*time.Second+time.Duration(i)*2*time.Second, func() {
+				for _, n := range s.sampleNodes(0.4) {
+					s.partitionNode(n, 3*time.Second)
 				}
 			})
 		}
 	}},
-	"nodes come": {strike: func(w *world) {
+	"nodes join": {inject: func(s *simulation) {
 		for i := range 8 {
-			w.at(8*time.Second+time.Duration(i)*time.Second, func() {
-				n := w.add(false, true)
-				w.after(startTime, func() { w.learn(n) })
-				w.changeMembers()
-				w.after(settle, w.makeTree)
+			s.atTime(8*time.Second+time.Duration(i)*time.Second, func() {
+				n := s.addNode(false, true)
+				s.after(startupDelay, func() { s.loadTables(n) })
+				s.publishMembers()
+				s.after(treeDelay, s.rebuildTree)
 			})
 		}
 	}},
-	"nodes leave for good": {strike: func(w *world) {
+	"nodes leave for good": {inject: func(s *simulation) {
 		for i := range 3 {
-			w.at(8*time.Second+time.Duration(i)*2*time.Second, func() {
-				for _, n := range w.some(0.15) {
-					w.kill(n, true)
-					w.after(3*time.Second, func() {
+			s.atTime(8*time.Second+time.Duration(i)*2*time.Second, func() {
+				for _, n := range s.sampleNodes(0.15) {
+					s.stopNode(n, true)
+					s.after(3*time.Second, func() {
 						n.listed = false
-						w.changeMembers()
+						s.publishMembers()
 					})
 				}
 			})
 		}
 	}},
-	"half of the nodes end for good": {more: 16 * time.Second, strike: func(w *world) {
-		for _, n := range w.nodes[:len(w.nodes)/2] {
-			w.kill(n, true)
+	"half of the nodes stop for good": {extraTime: 16 * time.Second, inject: func(s *simulation) {
+		for _, n := range s.nodes[:len(s.nodes)/2] {
+			s.stopNode(n, true)
 		}
-	}, used: 0.85},
-	"nodes are cut off for long": {more: 12 * time.Second, strike: func(w *world) {
-		for _, n := range w.some(0.4) {
-			w.cut(n, 20*time.Second)
+	}, minUtilization: 0.85},
+	"nodes are partitioned for long": {extraTime: 12 * time.Second, inject: func(s *simulation) {
+		for _, n := range s.sampleNodes(0.4) {
+			s.partitionNode(n, 20*time.Second)
 		}
 	}},
-	"the store is away while nodes come and go": {strike: func(w *world) {
-		w.away(8 * time.Second)
+	"the store is down while nodes join and leave": {inject: func(s *simulation) {
+		s.stopStore(8 * time.Second)
 		for i := range 5 {
-			w.at(8*time.Second+time.Duration(i)*time.Second, func() {
-				for _, n := range w.some(0.2) {
-					w.kill(n, i%2 == 0)
-					n.listed = !n.gone
+			s.atTime(8*time.Second+time.Duration(i)*time.Second, func() {
+				for _, n := range s.sampleNodes(0.2) {
+					s.stopNode(n, i%2 == 0)
+					n.listed = !n.goneForGood
 				}
-				n := w.add(false, true)
-				w.after(startTime, func() { w.learn(n) })
-				w.changeMembers()
-				w.after(settle, w.makeTree)
+				n := s.addNode(false, true)
+				s.after(startupDelay, func() { s.loadTables(n) })
+				s.publishMembers()
+				s.after(treeDelay, s.rebuildTree)
 			})
 		}
 	}},
-	"limits change": {strike: func(w *world) {
+	"limits change": {inject: func(s *simulation) {
 		for i, rate := range []vaneyoke.PerSecond{7, 1.2, 4.5, 0.6, 2.8} {
-			w.at(8*time.Second+time.Duration(i)*2*time.Second, func() { w.name(w.upstreams[0], rate) })
+			s.atTime(8*time.Second+time.Duration(i)*2*time.Second, func() { s.declareLimit(s.upstreams[0], rate) })
 		}
-	}, used: 0.6},
-	"limits end and are named again": {strike: func(w *world) {
+	}, minUtilization: 0.6},
+	"limits end and are declared again": {inject: func(s *simulation) {
 		for i := range 4 {
-			w.at(8*time.Second+time.Duration(i)*3*time.Second, func() {
+			s.atTime(8*time.Second+time.Duration(i)*3*time.Second, func() {
 				if i%2 == 0 {
-					w.end(w.upstreams[0])
+					s.endLimit(s.upstreams[0])
 				} else {
-					w.name(w.upstreams[0], 2)
+					s.declareLimit(s.upstreams[0], 2)
 				}
 			})
 		}
 	}},
-	"an upstream starts again under its id": {strike: func(w *world) {
-		u := w.upstreams[0]
-		u.born++
-		w.end(u)
-		for _, n := range w.nodes {
-			w.after(time.Duration(w.rng.Int64N(int64(listWay))), func() { w.give(n, ratelimit.Upstreams{All: w.upstreamList()}) })
+	"an upstream restarts under its id": {inject: func(s *simulation) {
+		u := s.upstreams[0]
+		u.incarnation++
+		s.endLimit(u)
+		for _, n := range s.nodes {
+			s.after(time.Duration(s.rng.Int64N(int64(maxUpdateDelay))), func() { s.deliver(n, ratelimit.UpstreamsUpdated{All: s.upstreamList()}) })
 		}
-		w.at(10*time.Second, func() { w.name(u, 1.5) })
-	}, used: 0.6},
-	"datagrams are lost":        {large: true, set: func(w *world) { w.loss = 0.2 }, used: 0.5},
-	"data centres are regions":  {set: func(w *world) { w.regions = true }, used: 0.5},
-	"some nodes keep no limits": {set: func(w *world) { w.olds = 2 }},
+		s.atTime(10*time.Second, func() { s.declareLimit(u, 1.5) })
+	}, minUtilization: 0.6},
+	"datagrams are lost":              {largeFleet: true, configure: func(s *simulation) { s.loss = 0.2 }, minUtilization: 0.5},
+	"data centres are regions":        {configure: func(s *simulation) { s.regions = true }, minUtilization: 0.5},
+	"some nodes don't support limits": {configure: func(s *simulation) { s.oldBuilds = 2 }},
 }
 
-func playTrouble(seed uint64, nodes int, tr trouble) *world {
-	w := newWorld(seed, nodes, func(w *world) {
-		if tr.set != nil {
-			tr.set(w)
+func simulate(seed uint64, nodes int, f fault) *simulation {
+	s := newSimulation(seed, nodes, func(s *simulation) {
+		if f.configure != nil {
+			f.configure(s)
 		}
 	})
-	w.at(namedAt, func() {
-		w.name(w.upstreams[0], 2.8)
-		w.name(w.upstreams[1], 3.5)
+	s.atTime(declaredAfter, func() {
+		s.declareLimit(s.upstreams[0], 2.8)
+		s.declareLimit(s.upstreams[1], 3.5)
 	})
-	if tr.strike != nil {
-		w.at(2*namedAt, func() { tr.strike(w) })
+	if f.inject != nil {
+		s.atTime(2*declaredAfter, func() { f.inject(s) })
 	}
-	w.play(lasts + tr.more)
-	return w
+	s.run(runTime + f.extraTime)
+	return s
 }
 
-// TestLimitsHold plays fleets of 1 to 1,043 nodes before upstreams that name limits, in all troubles: what all nodes send together, also those
-// that are cut off or have just started, stays within what the limit allows.
+// TestLimitsHold simulates fleets of 1 to 1,043 nodes and upstreams that declare limits, with all faults. The requests of all nodes together,
+// including those that are partitioned or have just started, must stay within what the limits allow.
 func TestLimitsHold(t *testing.T) {
-	for name, tr := range troubles {
+	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sizes := []int{1, 2, 7, 90}
-			if tr.large || *worlds > 1 {
+			if f.largeFleet || *simulations > 1 {
 				sizes = append(sizes, 1043)
 			}
 			for _, nodes := range sizes {
-				for seed := uint64(1); seed <= *worlds; seed++ {
-					w := playTrouble(seed, nodes, tr)
-					w.check(t, fmt.Sprint(name, ", ", nodes, " nodes, seed ", seed), tr)
+				for seed := uint64(1); seed <= *simulations; seed++ {
+					s := simulate(seed, nodes, f)
+					s.check(t, fmt.Sprint(name, ", ", nodes, " nodes, seed ", seed), f)
 				}
 			}
 		})
 	}
 }
 
-func (w *world) check(t *testing.T, what string, tr trouble) {
+// check verifies that no window exceeded the limits, and that they were used as far as the fault requires.
+func (s *simulation) check(t *testing.T, desc string, f fault) {
 	t.Helper()
-	for _, u := range w.upstreams {
+	for _, u := range s.upstreams {
 		if len(u.limits) == 0 {
 			continue
 		}
-		beyond, got := u.most(w.now)
-		used := u.used(w.now.Add(-atLast), w.now)
+		excess, received := u.worstWindow(s.now)
+		utilization := u.utilization(s.now.Add(-finalPhase), s.now)
 		if testing.Verbose() {
-			t.Logf("%s: %s got at most %d in %s, %.1f under what is allowed; %.2f of what it offers was used at last", what, u.id, got, window, -beyond, used)
+			t.Logf("%s: %s received at most %d requests in %s, %.1f below the allowed number; final utilization %.2f", desc, u.id, received, window, -excess, utilization)
 		}
-		must.LessEq(t, 0, beyond, must.Sprint(what, " ", u.id))
+		must.LessEq(t, 0, excess, must.Sprint(desc, " ", u.id))
 		if u.limit().Named {
-			must.GreaterEq(t, tr.used, used, must.Sprint(what, " ", u.id))
+			must.GreaterEq(t, f.minUtilization, utilization, must.Sprint(desc, " ", u.id))
 		}
 	}
 	if testing.Verbose() {
-		slices.Sort(w.waits)
-		t.Logf("%s: %d calls, %d sent, %d refused; %d questions, busiest node %d datagrams; longest wait %s, 99 of 100 %s", what, w.calls, w.sent, w.refused,
-			w.asks, slices.Max(w.datagrams), w.waits[len(w.waits)-1], w.waits[len(w.waits)*99/100])
+		slices.Sort(s.waits)
+		t.Logf("%s: %d calls, %d sent, %d refused; %d permit requests, busiest node %d datagrams; longest wait %s, 99th percentile %s", desc, s.calls, s.sent, s.refused,
+			s.requests, slices.Max(s.datagrams), s.waits[len(s.waits)-1], s.waits[len(s.waits)*99/100])
 	}
 }
--- a/decide/ratelimit/ping.go
+++ b/decide/ratelimit/ping.go
@@ -7,30 +7,30 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// ping asks the other keepers of the upstreams for which permits are wanted, and those that would follow them, whether they are there. In a large
-// fleet no other node asks one of them often enough to find out.
+// ping checks whether the other owners and the standbys still respond, for the upstreams for which permits were requested recently. In a large
+// fleet, no other node asks one of them often enough to notice that it is gone.
 func (s *State) ping(now time.Time) {
-	if s.pingAt.IsZero() || now.Before(s.pingAt) {
+	if s.nextPing.IsZero() || now.Before(s.nextPing) {
 		return
 	}
-	s.pingAt, s.pingedAt = time.Time{}, now
+	s.nextPing, s.lastPing = time.Time{}, now
 	pinged := map[vaneyoke.VMID]bool{s.self: true}
-	for id, k := range s.known {
-		if k.bucket == nil || !k.limit.Named || now.Sub(k.bucket.askedAt) > wantedOfLate {
+	for id, e := range s.limits {
+		if e.bucket == nil || !e.limit.Named || now.Sub(e.bucket.lastRequest) > recentDemand {
 			continue
 		}
-		for _, vm := range slices.Concat(s.keepersOf(id, k), k.next) {
+		for _, vm := range slices.Concat(s.ownersOf(id, e), e.standbys) {
 			if !pinged[vm] {
 				pinged[vm] = true
-				s.question(now, &question{upstream: id, to: vm, at: now, endAt: now.Add(longestAsk)}, k, true)
+				s.sendRequest(now, &request{upstream: id, to: vm, sentAt: now, deadline: now.Add(maxRequestTimeout)}, e, true)
 			}
 		}
-		s.wakeToPing(now.Add(pingEvery))
+		s.schedulePing(now.Add(pingInterval))
 	}
 }
 
-func (s *State) wakeToPing(at time.Time) {
-	if s.pingAt.IsZero() || at.Before(s.pingAt) {
-		s.pingAt = at
+func (s *State) schedulePing(at time.Time) {
+	if s.nextPing.IsZero() || at.Before(s.nextPing) {
+		s.nextPing = at
 	}
 }
--- a/decide/ratelimit/state.go
+++ b/decide/ratelimit/state.go
@@ -8,142 +8,143 @@
 )
 
 const (
-	keepers     = 3 // nodes that give an upstream's permits
-	nextKeepers = 2 // nodes of its data centre, and of others, that are looked after because they would follow
-	nearKeepers = 2 // of them in its data centre, where there are others, since a data centre's nodes fall together
-
-	// trialRate is what an upstream is sent at the least that takes less, since only its answers tell that its limit has ended.
-	trialRate vaneyoke.PerSecond = 0.1
-
-	askNext       = 25 * time.Millisecond  // after which another keeper is asked beside one that has not answered, at the soonest: some times what an answer takes within a region
-	longestAsk    = 150 * time.Millisecond // longest wait for a keeper's answer: twice what one takes between regions
-	firstWait     = 50 * time.Millisecond  // the wait where nothing is known of answers from its data centre
-	shortestAsk   = 10 * time.Millisecond  // the shortest: nodes share their processors with others
-	patientFactor = 3                      // times what a keeper's answers take that one is waited for
-	paceFades     = 8                      // part of the difference by which what answers take is forgotten with each quicker one
-	mostMissed    = 2                      // answers in a row that may be missed before a keeper is left aside
-	permitLasts   = 300 * time.Millisecond // after a permit was asked for, in which it can be used: the keeper counts it as used then
-	silentFor     = time.Second            // for which a keeper is not asked that has not answered
-	goneAfter     = 10 * time.Second       // without an answer after which a keeper is taken for gone, if it takes no connections: more than nodes are frozen or cut off for
-	pingEvery     = 2 * time.Second        // between two looks whether the other keepers are there
-	wantedOfLate  = 5 * time.Second        // for which a keeper that is asked for permits looks after the others
-	takeOver      = time.Second            // after a change of the members, in which a new keeper gives nothing: the one before gives until it hears of it
-	notKeeper     = 250 * time.Millisecond // after which a node is asked again that does not take itself for a keeper
-	longestTurn   = 5 * time.Second        // longest time that anyone is told to wait
-	shortestWait  = 5 * time.Millisecond   // before a keeper is asked again
-
-	gather       = 10 * time.Millisecond  // in which notices come together before they are told
-	tellPause    = 100 * time.Millisecond // between two datagrams to a neighbour
-	changePause  = 250 * time.Millisecond // between two times that the keepers of an upstream are told of another rate
-	tellTimes    = 3                      // that a neighbour is told of a limit
-	mostTold     = 10                     // notices in one datagram
-	mostKnown    = 4096                   // limits that are kept in memory
-	oldestNotice = time.Hour              // age that a notice has at the most
-	holdUnlisted = 30 * time.Second       // for which a limit is kept whose upstream is not listed
-	tidyEvery    = 5 * time.Second
-
-	nearShare   = 0.25                   // share of a rate by which the one in the store may differ
-	reviewEvery = 500 * time.Millisecond // between two looks whether the store holds what it should, while it does not
-	standIn     = 700 * time.Millisecond // after which the next keeper writes what the one before has not
-	writePause  = 2 * time.Second        // between two writes of a node for an upstream
+	ownersPerLimit   = 3 // nodes that grant an upstream's permits
+	standbysPerGroup = 2 // nodes ranked next in the upstream's data centre, and as many in others, that are pinged because they would become owners
+	localOwners      = 2 // owners in the upstream's data centre if there are nodes elsewhere, because the nodes of a data centre fail together
+
+	// minProbeRate is the rate at which requests are sent to an upstream that declares a lower one, because only its responses tell
+	// that its limit has ended.
+	minProbeRate vaneyoke.PerSecond = 0.1
+
+	minHedgeDelay         = 25 * time.Millisecond  // minimum delay of a hedged request to another owner: a few round trips within a region
+	maxRequestTimeout     = 150 * time.Millisecond // upper bound of a request's timeout: twice the round trip between regions
+	defaultRequestTimeout = 50 * time.Millisecond  // timeout if no response from the owner's data centre has been measured
+	minRequestTimeout     = 10 * time.Millisecond  // lower bound of a request's timeout: nodes share their CPUs with other processes
+	requestTimeoutFactor  = 3                      // timeout as a multiple of the measured response time
+	responseTimeDecay     = 8                      // a faster response lowers the measured response time by 1/8 of the difference
+	timeoutsBeforeSkip    = 2                      // consecutive timeouts after which an owner is skipped
+	permitTTL             = 300 * time.Millisecond // time after the request for which a permit may be used; the owner counts it as used then
+	skipDuration          = time.Second            // time for which an unresponsive owner is not asked
+	livenessCheckAfter    = 10 * time.Second       // time without a response after which an owner's liveness is checked: longer than nodes are frozen or partitioned
+	pingInterval          = 2 * time.Second        // between pings of the other owners and the standbys
+	recentDemand          = 5 * time.Second        // time after a request for a permit during which an owner pings the others
+	newOwnerDelay         = time.Second            // time for which a new owner grants nothing, because the previous one grants until it learns of the change
+	notOwnerDelay         = 250 * time.Millisecond // time after which a node that does not regard itself as an owner is asked again
+	maxRetryAfter         = 5 * time.Second        // upper bound of the wait that a caller or node is told
+	minRetryDelay         = 5 * time.Millisecond   // minimum time before an owner is asked again
+
+	gossipBatchDelay     = 10 * time.Millisecond  // time for which notices are collected before they are sent
+	gossipInterval       = 100 * time.Millisecond // between datagrams to a neighbour
+	ownerUpdateInterval  = 250 * time.Millisecond // minimum time between notices of changed rates to the owners of a limit
+	noticeSends          = 3                      // number of times that a notice is sent to each neighbour, since datagrams may be lost
+	maxNoticesPerMessage = 10                     // per datagram
+	maxLimits            = 4096                   // kept in memory
+	maxNoticeAge         = time.Hour              // older notices count as this old
+	unlistedTTL          = 30 * time.Second       // time for which the limit of an unlisted upstream is kept
+	cleanupInterval      = 5 * time.Second
+
+	rateTolerance     = 0.25                   // relative difference by which the stored rate may deviate
+	reconcileInterval = 500 * time.Millisecond // between checks of the stored rows while one of them is wrong
+	standInDelay      = 700 * time.Millisecond // time after which the next owner in rank writes a row that the previous one has not
+	writeInterval     = 2 * time.Second        // minimum time between a node's writes for one upstream
 )
 
-// State is what a node knows of the limits that upstreams name, and the permits that it gives and wants.
+// State is a node's state of distributed rate limiting: the known limits, the permits it grants as an owner, and those it acquires.
 type State struct {
 	self       vaneyoke.VMID
 	dataCentre vaneyoke.DataCentreID
 	rng        *rand.Rand
 
-	members    []Member                       // that keep limits
-	fleet      int                            // all members
-	memberAt   time.Time                      // when members were known first
-	membersAt  time.Time                      // and last
-	list       []vaneyoke.Upstream            // of upstreams, which is not changed
-	index      map[vaneyoke.UpstreamID]listed // of the list; nil while nobody has looked anything up
-	known      map[vaneyoke.UpstreamID]*known
-	neighbours []vaneyoke.VMID
-	outboxes   []*outbox // of those of them whose builds keep limits
-	tellAt     time.Time // the zero time where nothing is to be told
-	toldAt     time.Time
-
-	wants            []*want
-	questions        map[uint64]*question
-	number           uint64 // of the last question
-	paces            map[vaneyoke.VMID]*pace
-	pingAt, pingedAt time.Time                               // when the next pings are due, the zero time for not at all, and when the last ones were sent
-	took             map[vaneyoke.DataCentreID]time.Duration // of answers of late, by the keeper's data centre
-
-	records  map[vaneyoke.UpstreamID]*record
-	reviewAt time.Time // the zero time where the store holds what it should
-
-	tidiedAt time.Time
-	effects  []Effect
+	members        []Member                        // whose builds support rate limits
+	fleetSize      int                             // number of all members
+	firstMembersAt time.Time                       // when members were first known
+	lastMembersAt  time.Time                       // when they were last updated
+	upstreams      []vaneyoke.Upstream             // as listed; read-only
+	listings       map[vaneyoke.UpstreamID]listing // index of upstreams, built on first use
+	limits         map[vaneyoke.UpstreamID]*limitEntry
+	neighbours     []vaneyoke.VMID
+	outboxes       []*outbox // of the neighbours whose builds support rate limits
+	nextGossip     time.Time // zero if no notice is queued
+	lastGossip     time.Time
+
+	acquisitions       []*acquisition
+	requests           map[uint64]*request
+	lastSeq            uint64 // of the latest request
+	health             map[vaneyoke.VMID]*ownerHealth
+	nextPing, lastPing time.Time                               // nextPing is zero if no ping is scheduled
+	responseTimes      map[vaneyoke.DataCentreID]time.Duration // smoothed, by the owner's data centre
+
+	rows          map[vaneyoke.UpstreamID]*rowState
+	nextReconcile time.Time // zero if all stored rows are right
+
+	lastCleanup time.Time
+	effects     []Effect
 }
 
-// New returns the state of a node that knows of no limit.
+// New returns the state of a node that knows no limits.
 func New(self vaneyoke.VMID, dataCentre vaneyoke.DataCentreID, rng *rand.Rand) *State {
 	return &State{
-		self: self, dataCentre: dataCentre, rng: rng, number: rng.Uint64N(1 << 40),
-		known: map[vaneyoke.UpstreamID]*known{}, questions: map[uint64]*question{}, paces: map[vaneyoke.VMID]*pace{},
-		records: map[vaneyoke.UpstreamID]*record{}, took: map[vaneyoke.DataCentreID]time.Duration{},
+		self: self, dataCentre: dataCentre, rng: rng, lastSeq: rng.Uint64N(1 << 40),
+		limits: map[vaneyoke.UpstreamID]*limitEntry{}, requests: map[uint64]*request{}, health: map[vaneyoke.VMID]*ownerHealth{},
+		rows: map[vaneyoke.UpstreamID]*rowState{}, responseTimes: map[vaneyoke.DataCentreID]time.Duration{},
 	}
 }
 
-// Handle takes in an event and returns what has to be done; the slice is valid until the next call.
+// Handle processes an event and returns the effects to carry out; the slice is valid until the next call.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = s.effects[:0]
 	switch ev := ev.(type) {
-	case Members:
+	case MembersUpdated:
 		s.setMembers(now, ev.All)
-	case Neighbours:
+	case NeighboursUpdated:
 		s.setNeighbours(now, ev.VMs)
-	case Upstreams:
+	case UpstreamsUpdated:
 		s.setUpstreams(now, ev.All)
-	case Answered:
-		s.answered(now, ev)
-	case Told:
-		s.told(now, ev)
-	case Asked:
-		s.asked(now, ev)
-	case Replied:
-		s.replied(now, ev)
-	case Want:
-		s.wanted(now, ev)
-	case Recorded:
-		s.recorded(now, ev.Rows)
+	case LimitObserved:
+		s.observeLimit(now, ev)
+	case NoticesReceived:
+		s.receiveNotices(now, ev)
+	case PermitRequested:
+		s.handleRequest(now, ev)
+	case PermitResponded:
+		s.handleResponse(now, ev)
+	case AcquirePermit:
+		s.acquire(now, ev)
+	case RowsUpdated:
+		s.setRows(now, ev.Rows)
 	case Tick:
 	}
-	s.seek(now)
-	s.tell(now)
-	s.tidy(now)
-	s.review(now)
+	s.advanceAcquisitions(now)
+	s.sendGossip(now)
+	s.cleanUp(now)
+	s.reconcileRows(now)
 	s.ping(now)
 	return s.effects
 }
 
-// Next returns when Tick is due, the zero time for not at all.
-func (s *State) Next() time.Time {
-	next := soonest(soonest(s.tellAt, s.reviewAt), s.pingAt)
-	for _, w := range s.wants {
-		next = soonest(next, w.nextAt)
+// NextTick returns when Tick is due, or the zero time if no Tick is needed.
+func (s *State) NextTick() time.Time {
+	next := earlier(earlier(s.nextGossip, s.nextReconcile), s.nextPing)
+	for _, a := range s.acquisitions {
+		next = earlier(next, a.hedgeAt)
 	}
-	for _, q := range s.questions {
-		if !q.late {
-			next = soonest(next, q.endAt)
+	for _, r := range s.requests {
+		if !r.timedOut {
+			next = earlier(next, r.deadline)
 		}
 	}
 	return next
 }
 
-// soonest returns the earlier of two times, of which the zero time is none.
-func soonest(a, b time.Time) time.Time {
+// earlier returns the earlier of two times; the zero time stands for none.
+func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
 	}
 	return a
 }
 
-// Limited reports whether an upstream names a limit.
+// Limited reports whether an upstream declares a rate limit.
 func (s *State) Limited(upstream vaneyoke.UpstreamID) bool { return s.limitOf(upstream).Named }
 
-func (s *State) do(e Effect) { s.effects = append(s.effects, e) }
+func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
--- a/process/node/limits_wire.go
+++ b/process/node/limits_wire.go
@@ -33,7 +33,7 @@
 // setMembers takes in the members of the fleet.
 func (t *limitTables) setMembers(all []feed.Member) {
 	t.node.SetMembers(lo.Map(all, func(m feed.Member, _ int) ratelimit.Member {
-		return ratelimit.Member{VM: m.VM, DataCentre: m.DataCentre, Keeps: m.Speaks >= feed.DialectLimits}
+		return ratelimit.Member{VM: m.VM, DataCentre: m.DataCentre, SupportsLimits: m.Speaks >= feed.DialectLimits}
 	}))
 }
 
@@ -57,7 +57,7 @@
 	member.OnNeighbours(n.SetNeighbours)
 	do.MustInvoke[*limitTables](i).node = n
 	if s.Gateway.Peers == "" {
-		n.SetMembers([]ratelimit.Member{{VM: vm, DataCentre: dataCentre, Keeps: true}})
+		n.SetMembers([]ratelimit.Member{{VM: vm, DataCentre: dataCentre, SupportsLimits: true}})
 	}
 	return n, nil
 }
--- a/shell/ratelimits/fuzz_test.go
+++ b/shell/ratelimits/fuzz_test.go
@@ -33,7 +33,7 @@
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		n := ratelimits.New("vm-0", "a", deaf{}, deaf{}, func(vaneyoke.UpstreamID, vaneyoke.Limit) {}, ratelimits.NewMetrics(new(expvar.Map).Init()), log)
 		defer n.Close()
-		n.SetMembers([]ratelimit.Member{{VM: "vm-0", DataCentre: "a", Keeps: true}, {VM: "vm-1", DataCentre: "b"}})
+		n.SetMembers([]ratelimit.Member{{VM: "vm-0", DataCentre: "a", SupportsLimits: true}, {VM: "vm-1", DataCentre: "b"}})
 		for _, text := range [][]byte{first, second} {
 			var m ratelimits.Message
 			if json.Unmarshal(text, &m) == nil {
--- a/shell/ratelimits/node.go
+++ b/shell/ratelimits/node.go
@@ -39,10 +39,10 @@
 
 // Message is what nodes say to one another of limits: one of its parts.
 type Message struct {
-	By       vaneyoke.VMID       `json:"by"`
-	Notices  []ratelimit.Notice  `json:"notices,omitempty"`
-	Question *ratelimit.Question `json:"question,omitempty"`
-	Answer   *ratelimit.Answer   `json:"answer,omitempty"`
+	By       vaneyoke.VMID             `json:"by"`
+	Notices  []ratelimit.Notice        `json:"notices,omitempty"`
+	Question *ratelimit.PermitRequest  `json:"question,omitempty"`
+	Answer   *ratelimit.PermitResponse `json:"answer,omitempty"`
 }
 
 // Permit is what became of a permit that was wanted.
@@ -95,16 +95,16 @@
 }
 
 // SetMembers takes in the nodes of the fleet.
-func (n *Node) SetMembers(all []ratelimit.Member) { n.handle(ratelimit.Members{All: all}) }
+func (n *Node) SetMembers(all []ratelimit.Member) { n.handle(ratelimit.MembersUpdated{All: all}) }
 
 // SetNeighbours takes in the nodes next to this one in the tree.
-func (n *Node) SetNeighbours(vms []vaneyoke.VMID) { n.handle(ratelimit.Neighbours{VMs: vms}) }
+func (n *Node) SetNeighbours(vms []vaneyoke.VMID) { n.handle(ratelimit.NeighboursUpdated{VMs: vms}) }
 
 // SetUpstreams takes in the upstreams that are listed.
-func (n *Node) SetUpstreams(all []vaneyoke.Upstream) { n.handle(ratelimit.Upstreams{All: all}) }
+func (n *Node) SetUpstreams(all []vaneyoke.Upstream) { n.handle(ratelimit.UpstreamsUpdated{All: all}) }
 
 // SetRows takes in the rows that the store holds.
-func (n *Node) SetRows(rows []ratelimit.Row) { n.handle(ratelimit.Recorded{Rows: rows}) }
+func (n *Node) SetRows(rows []ratelimit.Row) { n.handle(ratelimit.RowsUpdated{Rows: rows}) }
 
 // Sending takes in that something goes to an upstream.
 func (n *Node) Sending(upstream vaneyoke.Upstream, kind forward.Kind) {
@@ -113,7 +113,7 @@
 
 // Answered takes in the limit that an upstream named in its answer to a request of this node.
 func (n *Node) Answered(upstream vaneyoke.Upstream, limit vaneyoke.Limit, sentAt time.Time) {
-	n.handle(ratelimit.Answered{Upstream: upstream, Limit: limit, SentAt: sentAt})
+	n.handle(ratelimit.LimitObserved{Upstream: upstream, Limit: limit, SentAt: sentAt})
 }
 
 // Take takes in what another node says.
@@ -121,11 +121,11 @@
 	switch {
 	case m.By == n.self || m.By == "":
 	case m.Question != nil:
-		n.handle(ratelimit.Asked{From: m.By, Question: *m.Question})
+		n.handle(ratelimit.PermitRequested{From: m.By, Request: *m.Question})
 	case m.Answer != nil:
-		n.handle(ratelimit.Replied{From: m.By, Answer: *m.Answer})
+		n.handle(ratelimit.PermitResponded{From: m.By, Response: *m.Answer})
 	case len(m.Notices) > 0:
-		n.handle(ratelimit.Told{From: m.By, Notices: m.Notices})
+		n.handle(ratelimit.NoticesReceived{From: m.By, Notices: m.Notices})
 	}
 }
 
@@ -144,7 +144,7 @@
 	id := n.last
 	n.waiting[id] = decided
 	n.mu.Unlock()
-	n.handle(ratelimit.Want{ID: id, Upstream: upstream})
+	n.handle(ratelimit.AcquirePermit{ID: id, Upstream: upstream})
 	select {
 	case p := <-decided:
 		n.metrics.decided(p.Granted)
@@ -165,15 +165,15 @@
 	now := steady.Now()
 	for _, effect := range n.state.Handle(now, ev) {
 		switch e := effect.(type) {
-		case ratelimit.Decide:
+		case ratelimit.PermitDecided:
 			n.decideLocked(e)
-		case ratelimit.Believe:
+		case ratelimit.LimitUpdated:
 			n.believeLocked(now, e)
 		default:
 			outside = append(outside, effect)
 		}
 	}
-	if at := n.state.Next(); !at.IsZero() && !n.ended {
+	if at := n.state.NextTick(); !at.IsZero() && !n.ended {
 		n.timer.Reset(at.Sub(now))
 	}
 	n.mu.Unlock()
@@ -182,29 +182,29 @@
 	}
 }
 
-func (n *Node) decideLocked(d ratelimit.Decide) {
+func (n *Node) decideLocked(d ratelimit.PermitDecided) {
 	if waiting := n.waiting[d.ID]; waiting != nil {
 		delete(n.waiting, d.ID)
-		waiting <- Permit{Granted: d.Granted, Next: d.Next, Turn: d.Turn}
+		waiting <- Permit{Granted: d.Granted, Next: d.AvailableIn, Turn: d.RetryAfter}
 	}
 }
 
 func (n *Node) carryOut(effect ratelimit.Effect) {
 	switch e := effect.(type) {
-	case ratelimit.Tell:
+	case ratelimit.SendNotices:
 		n.metrics.counts.Add("notices_told_total", int64(len(e.Notices)))
 		n.messenger.SendLimits(e.To, Message{By: n.self, Notices: e.Notices})
-	case ratelimit.Ask:
+	case ratelimit.SendPermitRequest:
 		n.metrics.counts.Add("questions_total", 1)
-		n.messenger.SendLimits(e.To, Message{By: n.self, Question: &e.Question})
-	case ratelimit.Reply:
+		n.messenger.SendLimits(e.To, Message{By: n.self, Question: &e.Request})
+	case ratelimit.SendPermitResponse:
 		n.metrics.counts.Add("answers_total", 1)
-		n.messenger.SendLimits(e.To, Message{By: n.self, Answer: &e.Answer})
-	case ratelimit.Suspect:
+		n.messenger.SendLimits(e.To, Message{By: n.self, Answer: &e.Response})
+	case ratelimit.CheckLiveness:
 		go n.messenger.TakeOffIfGone(e.VM)
-	case ratelimit.Write:
+	case ratelimit.WriteRow:
 		n.record(e.Row, true, n.store.Write)
-	case ratelimit.Remove:
+	case ratelimit.RemoveRow:
 		n.record(e.Row, false, n.store.Remove)
 	}
 }
@@ -217,11 +217,11 @@
 	})
 }
 
-func (n *Node) believeLocked(now time.Time, e ratelimit.Believe) {
+func (n *Node) believeLocked(now time.Time, e ratelimit.LimitUpdated) {
 	n.account.Named(now, e.Notice.Upstream, e.Notice.Limit)
 	n.believe(e.Notice.Upstream, e.Notice.Limit)
 	n.log.WithFields(logrus.Fields{
 		"upstream": e.Notice.Upstream, "incarnation": uint64(e.Notice.Incarnation), "named": e.Notice.Limit.Named, "rate": e.Notice.Limit.Rate,
-		"age_ms": e.Notice.AgeMs, "peer": e.By,
+		"age_ms": e.Notice.AgeMs, "peer": e.From,
 	}).Info("limit_named")
 }
