--- a/decide/placement/division.go
+++ b/decide/placement/division.go
@@ -64,7 +64,7 @@
 	switch {
 	case d.isTarget(e):
 		switch {
-		case d.Barred:
+		case d.Blocked:
 			return false
 		case d.moved():
 			return !other
@@ -91,7 +91,7 @@
 // the fleet's share is that of each node, whatever the nodes know of one another.
 func (s *State) Draws(rng *rand.Rand, service vaneyoke.ServiceID) bool {
 	d := s.divisions[service]
-	return d != nil && !d.Barred && d.Share > 0 && rng.Float64() < d.Share
+	return d != nil && !d.Blocked && d.Share > 0 && rng.Float64() < d.Share
 }
 
 // Running returns the attempts under way by service and version.
--- a/decide/placement/division_test.go
+++ b/decide/placement/division_test.go
@@ -43,7 +43,7 @@
 		"nothing known":  {rollout.Split{Target: "new"}, versions{"old": true}, versions{"old": true}, versions{"new": true}, versions{"old": true}},
 		"trial":          {rollout.Split{Target: "new", Share: 0.1}, versions{"old": true}, versions{"new": true}, versions{"new": true}, versions{"old": true}},
 		"moved":          {rollout.Split{Target: "new", Share: 1}, versions{"new": true}, versions{"new": true}, versions{"new": true}, versions{"new": true}},
-		"reverted":       {rollout.Split{Target: "new", Barred: true}, versions{"old": true}, versions{"old": true}, nil, versions{"old": true}},
+		"reverted":       {rollout.Split{Target: "new", Blocked: true}, versions{"old": true}, versions{"old": true}, nil, versions{"old": true}},
 		"held":           {rollout.Split{Held: []vaneyoke.SoftwareVersion{"new"}}, versions{"old": true}, versions{"old": true}, versions{"new": true}, versions{"old": true}},
 		"nobody divided": {rollout.Split{}, versions{"old": true, "new": true}, versions{"old": true, "new": true}, versions{"new": true}, versions{"old": true, "new": true}},
 	}
--- a/decide/rollout/decide.go
+++ b/decide/rollout/decide.go
@@ -6,154 +6,160 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// tick forgets nodes that report elsewhere by now, stops what was found bad, and writes what is decided where the node reads
-// the store for others: whoever does so writes, on the row's revision, so that nobody has to be chosen.
+// tick drops stale reports and stops rollouts that turned out bad. On the node that reads the store for the others it also writes the
+// next stage of each rollout. The write is conditional on the row's revision, so that no leader election is needed.
 func (s *State) tick(now time.Time) {
-	for service, m := range s.moves {
-		m.forget(now)
-		s.judge(service, m)
+	for service, p := range s.rollouts {
+		p.dropStaleReports(now)
+		s.stopIfBad(service, p)
 	}
-	if !s.reads || s.rows == nil || len(s.orders) == 0 {
+	if !s.readsStore || s.rows == nil || len(s.orders) == 0 {
 		return
 	}
 	for service, order := range s.orders {
-		if row, ok := s.rows[service]; ok && row.Stage.Final() && order.Revision <= row.covered() {
+		if row, ok := s.rows[service]; ok && row.Stage.Final() && order.Revision <= row.latestOrder() {
 			continue
 		}
-		if s.clockAt.IsZero() {
-			s.readClock(now)
+		if s.clockReadAt.IsZero() {
+			s.requestClock(now)
 			return
 		}
-		s.decide(now, order)
+		s.advance(now, order)
 	}
 }
 
-func (m *move) forget(now time.Time) {
-	for vm, b := range m.below {
-		if now.Sub(b.at) > reportHolds {
-			delete(m.below, vm)
+// dropStaleReports removes the reports of nodes that have not reported here within reportTTL.
+func (p *progress) dropStaleReports(now time.Time) {
+	for vm, child := range p.children {
+		if now.Sub(child.receivedAt) > reportTTL {
+			delete(p.children, vm)
 		}
 	}
 }
 
-// judge stops a roll-out that is bad by what the node knows.
-func (s *State) judge(service vaneyoke.ServiceID, m *move) {
-	if m.bad || m.stage.Final() {
+// stopIfBad stops a rollout whose target is bad according to the answers that this node knows of.
+func (s *State) stopIfBad(service vaneyoke.ServiceID, p *progress) {
+	if p.bad || p.stage.Final() {
 		return
 	}
-	if verdict, reason := Judge(m.sum()); verdict == VerdictBad {
-		s.stop(service, m, reason)
+	if verdict, reason := Evaluate(p.totalTally()); verdict == VerdictBad {
+		s.markBad(service, p, reason)
 	}
 }
 
-func (s *State) readClock(now time.Time) {
-	if s.askedAt.IsZero() || now.Sub(s.askedAt) >= writePause {
-		s.askedAt = now
-		s.do(ReadClock{})
+// requestClock has the store's clock read, unless it was requested within minWriteInterval.
+func (s *State) requestClock(now time.Time) {
+	if s.clockRequestedAt.IsZero() || now.Sub(s.clockRequestedAt) >= minWriteInterval {
+		s.clockRequestedAt = now
+		s.emit(ReadClock{})
 	}
 }
 
-// storeTime returns the time on the store's clock.
-func (s *State) storeTime(now time.Time) StoreTime { return s.clock + StoreTime(now.Sub(s.clockAt)) }
+// storeTime returns the current time on the store's clock.
+func (s *State) storeTime(now time.Time) StoreTime {
+	return s.clock + StoreTime(now.Sub(s.clockReadAt))
+}
 
-// decide writes the next stage of an order where it is time for it.
-func (s *State) decide(now time.Time, order standing) {
+// advance writes the next stage of an order when it is due.
+func (s *State) advance(now time.Time, order activeOrder) {
 	at := s.storeTime(now)
 	row, ok := s.rows[order.Service]
-	if !ok || !row.answers(order.Order, at) {
-		s.begin(now, at, order, row.Revision)
+	if !ok || !row.appliesTo(order.Order, at) {
+		s.startRollout(now, at, order, row.Revision)
 		return
 	}
-	m := s.moves[order.Service]
-	if order.Revision > row.covered() { // a repeat, which is not to start anew when the time is over
+	p := s.rollouts[order.Service]
+	if order.Revision > row.latestOrder() { // a repeated order must not start a new rollout once the deadline has passed
 		record := row.Record
-		record.Covers = order.Revision
-		s.write(now, m, Write{Record: record, Expect: row.Revision})
+		record.LastRepeat = order.Revision
+		s.write(now, p, Write{Record: record, Expect: row.Revision})
 		return
 	}
-	stage, reason := s.next(now, time.Duration(row.Deadline-at), order.Order, m)
+	stage, reason := s.nextStage(now, time.Duration(row.Deadline-at), order.Order, p)
 	if stage == row.Stage {
 		return
 	}
 	record := row.Record
-	record.Stage, record.Reason, record.By = stage, reason, s.self
-	s.write(now, m, Write{Record: record, Expect: row.Revision})
+	record.Stage, record.Reason, record.WrittenBy = stage, reason, s.self
+	s.write(now, p, Write{Record: record, Expect: row.Revision})
 }
 
-// begin writes the first record of an order; its time runs from when the order was learned, however late the record stands.
-func (s *State) begin(now time.Time, at StoreTime, order standing, expect vaneyoke.Revision) {
-	m := s.moves[order.Service]
-	if m == nil {
-		m = &move{own: Tally{}, lost: map[vaneyoke.UpstreamID][]Answered{}, below: map[vaneyoke.VMID]below{}}
-		s.moves[order.Service] = m
+// startRollout writes the first record of an order. The deadline counts from when this node learned of the order, however late the
+// record is written.
+func (s *State) startRollout(now time.Time, at StoreTime, order activeOrder, expect vaneyoke.Revision) {
+	p := s.rollouts[order.Service]
+	if p == nil {
+		p = &progress{ownTally: Tally{}, pendingLosses: map[vaneyoke.UpstreamID][]Answered{}, children: map[vaneyoke.VMID]childReport{}}
+		s.rollouts[order.Service] = p
 	}
 	record := Record{
-		Service: order.Service, Target: order.Target, Order: order.Revision, Stage: StageTrial, Deadline: at - StoreTime(now.Sub(order.since)) + StoreTime(order.Within), By: s.self,
+		Service: order.Service, Target: order.Target, Order: order.Revision, Stage: StageCanary, Deadline: at - StoreTime(now.Sub(order.learnedAt)) + StoreTime(order.Within), WrittenBy: s.self,
 	}
-	if versions := s.counts[order.Service]; versions[order.Target] > 0 && len(versions) == 1 {
-		record.Stage, record.Reason = StageCompleted, ReasonStands
+	if versions := s.upstreamCounts[order.Service]; versions[order.Target] > 0 && len(versions) == 1 {
+		record.Stage, record.Reason = StageCompleted, ReasonAlreadyDeployed
 	}
-	s.write(now, m, Write{Record: record, Expect: expect})
+	s.write(now, p, Write{Record: record, Expect: expect})
 }
 
-func (s *State) write(now time.Time, m *move, w Write) {
-	if !m.wroteAt.IsZero() && now.Sub(m.wroteAt) < writePause {
+// write emits a write, unless the last one for the same rollout was less than minWriteInterval ago.
+func (s *State) write(now time.Time, p *progress, w Write) {
+	if !p.lastWrite.IsZero() && now.Sub(p.lastWrite) < minWriteInterval {
 		return
 	}
-	m.wroteAt = now
-	s.do(w)
+	p.lastWrite = now
+	s.emit(w)
 }
 
-// next returns the stage that follows by now, and why; left is the time until the deadline. A version that was not shown to be
-// good is taken back, because the old upstreams work and a completed roll-out ends them for good.
-func (s *State) next(now time.Time, left time.Duration, order Order, m *move) (Stage, Reason) {
-	if m.bad {
-		_, reason := Judge(m.sum())
+// nextStage returns the stage that the rollout should be in now, and the reason; left is the time until the deadline. A version that was
+// not shown to be good is reverted, because the old upstreams work and completing a rollout stops them for good.
+func (s *State) nextStage(now time.Time, left time.Duration, order Order, p *progress) (Stage, Reason) {
+	if p.bad {
+		_, reason := Evaluate(p.totalTally())
 		if reason != ReasonSlow {
 			reason = ReasonFailures
 		}
 		return StageReverted, reason
 	}
-	verdict, _ := Judge(m.sum())
-	late := left <= lastTime
-	switch m.stage {
-	case StageTrial:
+	verdict, _ := Evaluate(p.totalTally())
+	deadlineNear := left <= decisionMargin
+	switch p.stage {
+	case StageCanary:
 		switch {
-		case late && s.counts[order.Service][order.Target] == 0:
-			return StageReverted, ReasonNobody
-		case late:
+		case deadlineNear && s.upstreamCounts[order.Service][order.Target] == 0:
+			return StageReverted, ReasonNoUpstreams
+		case deadlineNear:
 			return StageReverted, ReasonTooFew
-		case verdict == VerdictGood && left <= moveTime(order.Within):
+		case verdict == VerdictGood && left <= completionTime(order.Within):
 			return StageRamp, ReasonGood
 		}
 	case StageRamp:
 		switch {
-		case verdict == VerdictGood && now.Sub(m.since) >= rampTime:
+		case verdict == VerdictGood && now.Sub(p.stageSince) >= minRampTime:
 			return StageFull, ReasonGood
-		case late:
+		case deadlineNear:
 			return StageReverted, ReasonTooFew
 		}
 	case StageFull:
-		if late || (now.Sub(m.since) >= fullTime && s.oldEnded(order.Service, m)) {
+		if deadlineNear || (now.Sub(p.stageSince) >= minFullTime && s.oldUpstreamsIdle(order.Service, p)) {
 			return StageCompleted, ReasonGood
 		}
-	default: // a final stage stays
+	default: // final stages do not change
 	}
-	return m.stage, ""
+	return p.stage, ""
 }
 
-// moveTime returns how long before an order's deadline its trial may end. A version is tried for as long as possible,
-// because it may turn bad later.
-func moveTime(within time.Duration) time.Duration {
-	return min(max(time.Duration(moveShare*float64(within)), moveLeast), moveMost)
+// completionTime returns how long before an order's deadline the canary may end; that time is left for the later stages. The canary lasts as
+// long as possible because a version may turn bad later.
+func completionTime(within time.Duration) time.Duration {
+	return min(max(time.Duration(completionShare*float64(within)), minCompletionTime), maxCompletionTime)
 }
 
-// oldEnded reports whether nothing runs at the old upstreams, by what all nodes that report know and have heard.
-func (s *State) oldEnded(service vaneyoke.ServiceID, m *move) bool {
+// oldUpstreamsIdle reports whether no attempts run at the old upstreams, and all reporting nodes know of the full stage.
+func (s *State) oldUpstreamsIdle(service vaneyoke.ServiceID, p *progress) bool {
 	for _, report := range s.Reports() {
 		if report.Service == service {
 			return report.Running == 0 && report.Stage == StageFull
 		}
 	}
-	return m.stage.Final()
+	return p.stage.Final()
 }
--- a/decide/rollout/doc.go
+++ b/decide/rollout/doc.go
@@ -1,2 +1,3 @@
-// Package rollout decides, without I/O, how a service's work moves to the upstreams of another version, and whether it stays there.
+// Package rollout decides, without I/O, how a service's requests move to the upstreams of another version, and whether the
+// new version is kept or the rollout is reverted.
 package rollout
--- a/decide/rollout/event.go
+++ b/decide/rollout/event.go
@@ -4,118 +4,121 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Event is something that a node learns.
+// Event is an input of State.
 type Event interface{ event() }
 
-// Ordered tells the orders that stand.
-type Ordered struct{ Orders []Order }
+// OrdersUpdated carries all current orders.
+type OrdersUpdated struct{ Orders []Order }
 
-// Recorded tells the records that stand in the store.
-type Recorded struct{ Rows []Row }
+// RecordsUpdated carries all records in the store.
+type RecordsUpdated struct{ Rows []Row }
 
-// Upstreams tells the fleet's upstreams.
-type Upstreams struct{ All []vaneyoke.Upstream }
+// UpstreamsUpdated carries all upstreams of the fleet.
+type UpstreamsUpdated struct{ All []vaneyoke.Upstream }
 
-// Answered tells how an upstream answered a request of this node.
+// Answered carries an upstream's answer to a request of this node.
 type Answered struct {
 	Upstream vaneyoke.Upstream
 	Route    vaneyoke.RouteID
 	Answer   Answer
 }
 
-// Reported tells what a node that follows this one, and those that follow it, have counted.
-type Reported struct {
+// ReportReceived carries the reports of a child node, which include those of the nodes below it in the tree.
+type ReportReceived struct {
 	From    vaneyoke.VMID
 	Reports []Report
 }
 
-// Heard tells roll-outs that another node knows to be bad.
-type Heard struct{ Stops []Stop }
+// StopsReceived names the rollouts that another node knows to be bad.
+type StopsReceived struct{ Stops []ID }
 
-// ClockRead tells the time on the store's clock.
+// ClockRead carries the time on the store's clock.
 type ClockRead struct{ At StoreTime }
 
-// Tick tells what runs at this node, by service and version, and whether the node reads the store for others.
+// Tick lets time pass. It carries the attempts in flight at this node, by service and version, and whether the node reads the store for
+// the others.
 type Tick struct {
-	Running map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
-	Reads   bool
+	Running    map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
+	ReadsStore bool
 }
 
-func (Ordered) event()   {}
-func (Recorded) event()  {}
-func (Upstreams) event() {}
-func (Answered) event()  {}
-func (Reported) event()  {}
-func (Heard) event()     {}
-func (ClockRead) event() {}
-func (Tick) event()      {}
+func (OrdersUpdated) event()    {}
+func (RecordsUpdated) event()   {}
+func (UpstreamsUpdated) event() {}
+func (Answered) event()         {}
+func (ReportReceived) event()   {}
+func (StopsReceived) event()    {}
+func (ClockRead) event()        {}
+func (Tick) event()             {}
 
-// Effect is something that the node has to do.
+// Effect is an action that the node has to carry out.
 type Effect interface{ effect() }
 
-// Write has the node write a record where its row still has a revision, 0 for no row, and tell the operator its state.
+// Write asks for a record to be written if its row is still at revision Expect (0: no row exists), together with the status that the
+// operator reads.
 type Write struct {
 	Record Record
 	Expect vaneyoke.Revision
 }
 
-// ReadClock has the node read the store's clock.
+// ReadClock asks for the store's clock; ClockRead must follow.
 type ReadClock struct{}
 
-// Divide has the node divide a service's requests among the versions in another way.
-type Divide struct {
+// SetSplit changes how a service's requests are split among versions.
+type SetSplit struct {
 	Service vaneyoke.ServiceID
 	Split   Split
 }
 
-// Stopped says that the node gives the target of a roll-out nothing more, because of what was counted or told.
+// Stopped says that the node sends no more requests to the target of a rollout, because of the answers counted or because another node
+// reported the rollout as bad.
 type Stopped struct {
 	Service vaneyoke.ServiceID
 	Target  vaneyoke.SoftwareVersion
-	Reason  Reason // "" where another node told it
-	Answers int    // at the target, as far as this node knows
+	Reason  Reason // "" if another node reported it
+	Answers int    // of the target, as far as this node knows
 	Failed  int
 }
 
 func (Write) effect()     {}
 func (ReadClock) effect() {}
-func (Divide) effect()    {}
+func (SetSplit) effect()  {}
 func (Stopped) effect()   {}
 
-// Stop names a roll-out that was found bad.
-type Stop struct {
+// ID identifies a rollout by its service and the revision of its order.
+type ID struct {
 	Service vaneyoke.ServiceID `json:"service"`
 	Order   vaneyoke.Revision  `json:"order"`
 }
 
-// Report is what a node and those below it in the tree have counted of a roll-out.
+// Report holds what a node and those below it in the tree know of a rollout.
 type Report struct {
-	Stop
-	Bad     bool  `json:"bad,omitempty"` // whether it was found bad
-	Stage   Stage `json:"stage"`         // the lowest that any of them knows
-	Running int   `json:"running"`       // attempts under way at upstreams of other versions than the target
+	ID
+	Bad     bool  `json:"bad,omitempty"` // whether the target was found bad
+	Stage   Stage `json:"stage"`         // the earliest that any of these nodes knows
+	Running int   `json:"running"`       // attempts in flight at upstreams of versions other than the target
 	Tally   Tally `json:"tally"`
 }
 
-// bounded returns a report of another node as far as it can be true. What this build does not know holds a roll-out up, in place of
-// being left out: a node that is not counted might still send to upstreams that are about to be stopped.
-func (r Report) bounded() Report {
-	if r.Stage < StageTrial || r.Stage > StageReverted {
-		r.Stage = StageTrial
+// sanitized returns the report of another node with invalid values replaced. An unknown stage or a negative count delays the rollout
+// instead of being ignored: a node that is left out might still send to upstreams that are about to be stopped.
+func (r Report) sanitized() Report {
+	if r.Stage < StageCanary || r.Stage > StageReverted {
+		r.Stage = StageCanary
 	}
 	if r.Running < 0 {
 		r.Running = 1
 	}
-	if !r.Tally.sound() {
+	if !r.Tally.valid() {
 		r.Tally = nil
 	}
 	return r
 }
 
-// Split says how a service's requests are divided among the versions of its upstreams; the zero value divides nothing.
+// Split says how a service's requests are split among the versions of its upstreams; the zero value splits nothing.
 type Split struct {
-	Target vaneyoke.SoftwareVersion   // version to which the work moves; "" for none
-	Share  float64                    // of the requests that the target's upstreams get; 1 where the others get nothing new
-	Barred bool                       // whether the target gets nothing even where no other upstream is there
-	Held   []vaneyoke.SoftwareVersion // versions that get nothing while others are there, because an order for them may be on its way
+	Target  vaneyoke.SoftwareVersion   // version to which requests move; "" for none
+	Share   float64                    // of the requests that go to the target; at 1 the other versions get no new ones
+	Blocked bool                       // whether the target gets no requests even if no other upstream is available
+	Held    []vaneyoke.SoftwareVersion // versions that get no requests while others are available, because an order for them may still arrive
 }
--- a/decide/rollout/repeat_test.go
+++ b/decide/rollout/repeat_test.go
@@ -10,29 +10,29 @@
 	"github.com/vaneyoke/vaneyoke/decide/rollout"
 )
 
-// TestRepeatedOrderDoesNotStartAnew sends the same order twice while it is under way: nothing follows its final stage, also long after
-// its time is over. The same order once more, after that, is a new one.
+// TestRepeatedOrderDoesNotStartAnew repeats an order while its rollout is in progress: no stage follows the final one, even long after the
+// deadline. Another repeat after that starts a new rollout.
 func TestRepeatedOrderDoesNotStartAnew(t *testing.T) {
-	w := newWorld(3, 6, func(*world) {})
+	sim := newSimulation(3, 6, func(*simulation) {})
 	order := func(revision vaneyoke.Revision) {
-		for i := range w.nodes {
-			w.handle(i, rollout.Ordered{Orders: []rollout.Order{{Service: service, Target: "new", Within: w.within, Revision: revision}}})
+		for i := range sim.nodes {
+			sim.handle(i, rollout.OrdersUpdated{Orders: []rollout.Order{{Service: service, Target: "new", Within: sim.within, Revision: revision}}})
 		}
 	}
-	w.run(w.within+10*time.Second, func() {
-		if w.since() == 2*time.Second {
+	sim.run(sim.within+10*time.Second, func() {
+		if sim.elapsed() == 2*time.Second {
 			order(1000)
 		}
 	})
 	final := 0
-	for _, stage := range w.written {
+	for _, stage := range sim.written {
 		if stage.Final() {
 			final++
 		}
 	}
-	must.EqOp(t, rollout.StageCompleted, w.written[len(w.written)-1])
-	must.EqOp(t, 1, final, must.Sprint(w.written))
+	must.EqOp(t, rollout.StageCompleted, sim.written[len(sim.written)-1])
+	must.EqOp(t, 1, final, must.Sprint(sim.written))
 	order(2000)
-	w.run(w.since()+3*time.Second, nil)
-	must.EqOp(t, rollout.StageTrial, w.written[len(w.written)-1])
+	sim.run(sim.elapsed()+3*time.Second, nil)
+	must.EqOp(t, rollout.StageCanary, sim.written[len(sim.written)-1])
 }
--- a/decide/rollout/state.go
+++ b/decide/rollout/state.go
@@ -8,251 +8,255 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Config holds the bounds of roll-outs.
+// Config holds the settings of rollouts.
 type Config struct {
-	Exposure float64       // share of a service's requests that a version not judged good may get, from all nodes together
-	Hold     time.Duration // for which a version that is new to a service gets nothing, because the order for it may come later
+	Exposure float64       // largest share of a service's requests, over all nodes, for a version not yet judged good
+	Hold     time.Duration // time without requests for a version that is new to a service, because the order for it may arrive later
 }
 
 const (
-	trialOfExposure = 0.8                     // share of the exposure that the trial uses; the rest is left for the ramp
-	rampShare       = 0.3                     // of the requests during the ramp
-	rampTime        = 1500 * time.Millisecond // of the ramp at the least: answers to a second of requests, and their way up the tree
-	fullTime        = time.Second             // of the full stage at the least, in which all nodes learn of it
-	moveShare       = 0.4                     // of an order's time that the move from the trial to the end may take
-	moveLeast       = 3 * time.Second         // and its bounds: streams that run at the old upstreams end meanwhile
-	moveMost        = 8 * time.Second
-	lastTime        = 700 * time.Millisecond // before the deadline at which a decision is written, whatever is known: two ticks and a write
-	writePause      = 700 * time.Millisecond // between two writes, in which the first one's row comes back
-	reportHolds     = 2 * time.Second        // for which a report of a node below counts; a node that moved reports elsewhere
-	settleTime      = 15 * time.Second       // after the end for which old upstreams, which are being stopped, get nothing
+	canaryExposureShare = 0.8                     // share of the exposure that the canary uses; the rest is left for the ramp
+	rampShare           = 0.3                     // share of the requests during the ramp
+	minRampTime         = 1500 * time.Millisecond // answers to a second of requests, and the time they take up the tree
+	minFullTime         = time.Second             // all nodes learn of the full stage meanwhile
+	completionShare     = 0.4                     // share of an order's time for the stages after the canary
+	minCompletionTime   = 3 * time.Second         // streams in flight at the old upstreams end meanwhile
+	maxCompletionTime   = 8 * time.Second
+	decisionMargin      = 700 * time.Millisecond // before the deadline, at which a decision is written whatever is known: two ticks and a write
+	minWriteInterval    = 700 * time.Millisecond // the row of the previous write comes back meanwhile
+	reportTTL           = 2 * time.Second        // validity of a child's report; a node that changed its parent reports elsewhere
+	drainTime           = 15 * time.Second       // after completion, during which old upstreams, which are being stopped, get no requests
 )
 
-// State is what a node knows of the roll-outs.
+// State is what a node knows of all rollouts.
 type State struct {
-	self   vaneyoke.VMID
-	config Config
-	reads  bool
+	self       vaneyoke.VMID
+	config     Config
+	readsStore bool
 
-	clockAt time.Time // when the store's clock was read; the zero time for never
-	clock   StoreTime
-	askedAt time.Time // when it was asked for last
-	orders  map[vaneyoke.ServiceID]standing
-	rows    map[vaneyoke.ServiceID]Row                                    // nil while they are not known
-	seen    map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time // when a version came, among those that are there
-	counts  map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
-	running map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
-	moves   map[vaneyoke.ServiceID]*move
-	splits  map[vaneyoke.ServiceID]Split // as they were told last
-	effects []Effect
+	clockReadAt      time.Time // when the store's clock was read; zero if never
+	clock            StoreTime
+	clockRequestedAt time.Time // when it was last requested
+	orders           map[vaneyoke.ServiceID]activeOrder
+	rows             map[vaneyoke.ServiceID]Row                                    // nil until they are known
+	firstSeen        map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time // when a present version appeared; zero if it came with the service's first
+	upstreamCounts   map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
+	running          map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
+	rollouts         map[vaneyoke.ServiceID]*progress
+	splits           map[vaneyoke.ServiceID]Split // as last emitted
+	effects          []Effect
 }
 
-// standing is an order that stands.
-type standing struct {
+// activeOrder is a current order.
+type activeOrder struct {
 	Order
-	since time.Time // when it was learned
+	learnedAt time.Time // when this node learned of it
 }
 
-// move is what a node knows of the roll-out of a service.
-type move struct {
-	order   vaneyoke.Revision // of its record
-	stage   Stage
-	since   time.Time // when the stage was learned
-	own     Tally
-	lost    map[vaneyoke.UpstreamID][]Answered // losses that count once the upstream answers again: one that has died is not a bad version
-	below   map[vaneyoke.VMID]below
-	bad     bool
-	wroteAt time.Time
+// progress is what a node knows of the rollout of a service.
+type progress struct {
+	order         vaneyoke.Revision // revision in its record
+	stage         Stage
+	stageSince    time.Time // when this node learned of the stage
+	ownTally      Tally
+	pendingLosses map[vaneyoke.UpstreamID][]Answered // counted once the upstream answers again: a crashed upstream does not make its version bad
+	children      map[vaneyoke.VMID]childReport
+	bad           bool
+	lastWrite     time.Time
 }
 
-// below is what a node that follows this one reported last.
-type below struct {
-	at     time.Time
-	report Report
+// childReport is the last report of a child node.
+type childReport struct {
+	receivedAt time.Time
+	report     Report
 }
 
-// New returns a state that knows nothing yet.
+// New returns an empty state.
 func New(self vaneyoke.VMID, config Config) *State {
 	return &State{
-		self: self, config: config, orders: map[vaneyoke.ServiceID]standing{}, moves: map[vaneyoke.ServiceID]*move{},
-		seen: map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time{}, splits: map[vaneyoke.ServiceID]Split{},
+		self: self, config: config, orders: map[vaneyoke.ServiceID]activeOrder{}, rollouts: map[vaneyoke.ServiceID]*progress{},
+		firstSeen: map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time{}, splits: map[vaneyoke.ServiceID]Split{},
 	}
 }
 
-// Handle takes in an event and returns what has to be done; the slice is valid until the next call.
+// Handle processes an event and returns the effects to carry out; the slice is valid until the next call.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = s.effects[:0]
 	switch ev := ev.(type) {
-	case Ordered:
-		s.ordered(now, ev.Orders)
-	case Recorded:
-		s.recorded(now, ev.Rows)
-	case Upstreams:
-		s.upstreams(now, ev.All)
+	case OrdersUpdated:
+		s.setOrders(now, ev.Orders)
+	case RecordsUpdated:
+		s.setRows(now, ev.Rows)
+	case UpstreamsUpdated:
+		s.setUpstreams(now, ev.All)
 	case Answered:
-		s.answered(ev)
+		s.recordAnswer(ev)
 		return s.effects
-	case Reported:
-		s.reported(now, ev)
-	case Heard:
-		s.heard(ev.Stops)
+	case ReportReceived:
+		s.recordReports(now, ev)
+	case StopsReceived:
+		s.applyStops(ev.Stops)
 	case ClockRead:
-		s.clock, s.clockAt = ev.At, now
+		s.clock, s.clockReadAt = ev.At, now
 		s.tick(now)
 	case Tick:
-		s.running, s.reads = ev.Running, ev.Reads
+		s.running, s.readsStore = ev.Running, ev.ReadsStore
 		s.tick(now)
 	}
-	s.divide(now)
+	s.updateSplits(now)
 	return s.effects
 }
 
-func (s *State) do(e Effect) { s.effects = append(s.effects, e) }
+func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// ordered takes in the orders that stand; one that stood before keeps the time at which it was learned.
-func (s *State) ordered(now time.Time, orders []Order) {
+// setOrders replaces the orders; an order that is already known keeps the time at which it was learned.
+func (s *State) setOrders(now time.Time, orders []Order) {
 	before := s.orders
-	s.orders = make(map[vaneyoke.ServiceID]standing, len(orders))
+	s.orders = make(map[vaneyoke.ServiceID]activeOrder, len(orders))
 	for _, o := range orders {
-		since := now
+		learnedAt := now
 		if old, ok := before[o.Service]; ok && old.Revision == o.Revision {
-			since = old.since
+			learnedAt = old.learnedAt
 		}
-		s.orders[o.Service] = standing{Order: o, since: since}
+		s.orders[o.Service] = activeOrder{Order: o, learnedAt: learnedAt}
 	}
 }
 
-func (s *State) recorded(now time.Time, rows []Row) {
+// setRows replaces the rows; a row of another order resets what was counted.
+func (s *State) setRows(now time.Time, rows []Row) {
 	s.rows = map[vaneyoke.ServiceID]Row{}
 	for _, row := range rows {
 		s.rows[row.Service] = row
-		m := s.moves[row.Service]
-		if m == nil || m.order != row.Order {
-			m = &move{order: row.Order, own: Tally{}, lost: map[vaneyoke.UpstreamID][]Answered{}, below: map[vaneyoke.VMID]below{}}
-			s.moves[row.Service] = m
+		p := s.rollouts[row.Service]
+		if p == nil || p.order != row.Order {
+			p = &progress{order: row.Order, ownTally: Tally{}, pendingLosses: map[vaneyoke.UpstreamID][]Answered{}, children: map[vaneyoke.VMID]childReport{}}
+			s.rollouts[row.Service] = p
 		}
-		if m.stage != row.Stage {
-			m.stage, m.since = row.Stage, now
+		if p.stage != row.Stage {
+			p.stage, p.stageSince = row.Stage, now
 		}
 	}
 }
 
-// upstreams notes which versions are there; one that comes to a service which has others already is new.
-func (s *State) upstreams(now time.Time, all []vaneyoke.Upstream) {
-	s.counts = map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int{}
+// setUpstreams replaces the upstreams; a version is new if it appears at a service that already has other versions.
+func (s *State) setUpstreams(now time.Time, all []vaneyoke.Upstream) {
+	s.upstreamCounts = map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int{}
 	for _, u := range all {
-		if s.counts[u.Service] == nil {
-			s.counts[u.Service] = map[vaneyoke.SoftwareVersion]int{}
+		if s.upstreamCounts[u.Service] == nil {
+			s.upstreamCounts[u.Service] = map[vaneyoke.SoftwareVersion]int{}
 		}
-		s.counts[u.Service][u.Version]++
+		s.upstreamCounts[u.Service][u.Version]++
 	}
-	before := s.seen
-	s.seen = map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time{}
-	for service, versions := range s.counts {
-		s.seen[service] = map[vaneyoke.SoftwareVersion]time.Time{}
+	before := s.firstSeen
+	s.firstSeen = map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time{}
+	for service, versions := range s.upstreamCounts {
+		s.firstSeen[service] = map[vaneyoke.SoftwareVersion]time.Time{}
 		for version := range versions {
 			at, known := before[service][version]
 			if !known && len(before[service]) > 0 {
 				at = now
 			}
-			s.seen[service][version] = at
+			s.firstSeen[service][version] = at
 		}
 	}
 }
 
-func (s *State) answered(ev Answered) {
+// recordAnswer counts an answer; a loss counts once the same upstream answers again.
+func (s *State) recordAnswer(ev Answered) {
 	service := ev.Upstream.Service
-	m, row := s.moves[service], s.rows[service]
-	if m == nil || row.Stage.Final() || row.Stage == 0 || ev.Upstream.Version == "" {
+	p, row := s.rollouts[service], s.rows[service]
+	if p == nil || row.Stage.Final() || row.Stage == 0 || ev.Upstream.Version == "" {
 		return
 	}
 	isTarget := ev.Upstream.Version == row.Target
 	if ev.Answer.Kind == AnswerLost {
-		m.lost[ev.Upstream.ID] = append(m.lost[ev.Upstream.ID], ev)
+		p.pendingLosses[ev.Upstream.ID] = append(p.pendingLosses[ev.Upstream.ID], ev)
 		return
 	}
-	for _, lost := range m.lost[ev.Upstream.ID] {
-		m.own.count(lost.Route, isTarget, lost.Answer)
+	for _, lost := range p.pendingLosses[ev.Upstream.ID] {
+		p.ownTally.count(lost.Route, isTarget, lost.Answer)
 	}
-	delete(m.lost, ev.Upstream.ID)
-	m.own.count(ev.Route, isTarget, ev.Answer)
+	delete(p.pendingLosses, ev.Upstream.ID)
+	p.ownTally.count(ev.Route, isTarget, ev.Answer)
 }
 
-func (s *State) reported(now time.Time, ev Reported) {
+// recordReports stores the reports of a child node and stops the rollouts that it found bad.
+func (s *State) recordReports(now time.Time, ev ReportReceived) {
 	for _, report := range ev.Reports {
-		m := s.moves[report.Service]
-		if m == nil || m.order != report.Order {
+		p := s.rollouts[report.Service]
+		if p == nil || p.order != report.Order {
 			continue
 		}
-		m.below[ev.From] = below{at: now, report: report.bounded()}
+		p.children[ev.From] = childReport{receivedAt: now, report: report.sanitized()}
 		if report.Bad {
-			s.stop(report.Service, m, "")
+			s.markBad(report.Service, p, "")
 		}
 	}
 }
 
-func (s *State) heard(stops []Stop) {
+// applyStops stops the rollouts that another node found bad.
+func (s *State) applyStops(stops []ID) {
 	for _, stop := range stops {
-		if m := s.moves[stop.Service]; m != nil && m.order == stop.Order {
-			s.stop(stop.Service, m, "")
+		if p := s.rollouts[stop.Service]; p != nil && p.order == stop.Order {
+			s.markBad(stop.Service, p, "")
 		}
 	}
 }
 
-// stop has the target of a roll-out get nothing more.
-func (s *State) stop(service vaneyoke.ServiceID, m *move, reason Reason) {
-	if m.bad || m.stage.Final() {
+// markBad marks the target of a rollout as bad, so that this node sends it no more requests.
+func (s *State) markBad(service vaneyoke.ServiceID, p *progress, reason Reason) {
+	if p.bad || p.stage.Final() {
 		return
 	}
-	m.bad = true
-	var target Side
-	for _, sides := range m.sum() {
-		target.add(sides.Target)
+	p.bad = true
+	var target VersionStats
+	for _, stats := range p.totalTally() {
+		target.add(stats.Target)
 	}
-	s.do(Stopped{Service: service, Target: s.rows[service].Target, Reason: reason, Answers: target.Answers, Failed: target.Failed})
+	s.emit(Stopped{Service: service, Target: s.rows[service].Target, Reason: reason, Answers: target.Answers, Failed: target.Failed})
 }
 
-// sum returns what the node and those below it counted.
-func (m *move) sum() Tally {
-	sum := m.own.Clone()
-	for _, b := range m.below {
-		sum.Add(b.report.Tally)
+// totalTally returns the tally of the node and those below it in the tree.
+func (p *progress) totalTally() Tally {
+	total := p.ownTally.Clone()
+	for _, child := range p.children {
+		total.Add(child.report.Tally)
 	}
-	return sum
+	return total
 }
 
-// Stops returns the roll-outs that were found bad.
-func (s *State) Stops() []Stop {
-	var stops []Stop
-	for service, m := range s.moves {
-		if m.bad {
-			stops = append(stops, Stop{Service: service, Order: m.order})
+// Stops returns the rollouts whose target was found bad.
+func (s *State) Stops() []ID {
+	var stops []ID
+	for service, p := range s.rollouts {
+		if p.bad {
+			stops = append(stops, ID{Service: service, Order: p.order})
 		}
 	}
 	return stops
 }
 
-// Reports returns what is to be told to the node that this one follows.
+// Reports returns the reports for the parent node.
 func (s *State) Reports() []Report {
 	var reports []Report
-	for service, m := range s.moves {
-		if m.stage.Final() {
+	for service, p := range s.rollouts {
+		if p.stage.Final() {
 			continue
 		}
 		report := Report{
-			Stop: Stop{Service: service, Order: m.order}, Bad: m.bad, Stage: m.stage, Running: s.runningElsewhere(service), Tally: m.sum(),
+			ID: ID{Service: service, Order: p.order}, Bad: p.bad, Stage: p.stage, Running: s.runningOffTarget(service), Tally: p.totalTally(),
 		}
-		for _, b := range m.below {
-			report.Running += b.report.Running
-			report.Stage = min(report.Stage, b.report.Stage)
+		for _, child := range p.children {
+			report.Running += child.report.Running
+			report.Stage = min(report.Stage, child.report.Stage)
 		}
 		reports = append(reports, report)
 	}
 	return reports
 }
 
-// runningElsewhere returns how many attempts of this node run at upstreams of other versions than the target.
-func (s *State) runningElsewhere(service vaneyoke.ServiceID) (n int) {
+// runningOffTarget returns how many attempts of this node are in flight at upstreams of versions other than the target.
+func (s *State) runningOffTarget(service vaneyoke.ServiceID) (n int) {
 	for version, running := range s.running[service] {
 		if version != s.rows[service].Target {
 			n += running
@@ -261,60 +265,61 @@
 	return n
 }
 
-// divide tells how requests are divided where that is another way than told before.
-func (s *State) divide(now time.Time) {
+// updateSplits emits the splits that changed.
+func (s *State) updateSplits(now time.Time) {
 	services := map[vaneyoke.ServiceID]bool{}
-	for _, known := range []map[vaneyoke.ServiceID]bool{keys(s.seen), keys(s.orders), keys(s.rows), keys(s.splits)} {
+	for _, known := range []map[vaneyoke.ServiceID]bool{keys(s.firstSeen), keys(s.orders), keys(s.rows), keys(s.splits)} {
 		maps.Copy(services, known)
 	}
 	for service := range services {
-		split := s.split(now, service)
+		split := s.computeSplit(now, service)
 		if old := s.splits[service]; split.equal(old) {
 			continue
 		}
 		s.splits[service] = split
-		s.do(Divide{Service: service, Split: split})
+		s.emit(SetSplit{Service: service, Split: split})
 	}
 }
 
-func keys[V any](m map[vaneyoke.ServiceID]V) map[vaneyoke.ServiceID]bool {
-	set := make(map[vaneyoke.ServiceID]bool, len(m))
-	for key := range m {
+// keys returns the set of a map's keys.
+func keys[V any](byService map[vaneyoke.ServiceID]V) map[vaneyoke.ServiceID]bool {
+	set := make(map[vaneyoke.ServiceID]bool, len(byService))
+	for key := range byService {
 		set[key] = true
 	}
 	return set
 }
 
 func (s Split) equal(o Split) bool {
-	return s.Target == o.Target && s.Share == o.Share && s.Barred == o.Barred && slices.Equal(s.Held, o.Held)
+	return s.Target == o.Target && s.Share == o.Share && s.Blocked == o.Blocked && slices.Equal(s.Held, o.Held)
 }
 
-// split returns how a service's requests are divided: a version that is not judged good gets no more than the share of its
-// stage, and one of which the node does not know how far it has come gets nothing while others are there.
-func (s *State) split(now time.Time, service vaneyoke.ServiceID) Split {
-	order, isOrdered := s.orders[service]
-	row, isRecorded := s.rows[service]
-	split := Split{Held: s.held(now, service, order.Target)}
+// computeSplit returns how a service's requests are split. A version that is not judged good gets at most the share of its stage, and one
+// whose stage the node does not know gets no requests while others are available.
+func (s *State) computeSplit(now time.Time, service vaneyoke.ServiceID) Split {
+	order, hasOrder := s.orders[service]
+	row, hasRow := s.rows[service]
+	split := Split{Held: s.heldVersions(now, service, order.Target)}
 	switch {
-	case !isOrdered && (!isRecorded || row.Stage == StageCompleted):
+	case !hasOrder && (!hasRow || row.Stage == StageCompleted):
 		return split
-	case !isOrdered: // it was withdrawn, or has been reverted
-		split.Target, split.Barred = row.Target, true
+	case !hasOrder: // the order was withdrawn or the rollout reverted
+		split.Target, split.Blocked = row.Target, true
 		return split
-	case !isRecorded || row.Target != order.Target:
+	case !hasRow || row.Target != order.Target:
 		split.Target = order.Target
 		return split
 	}
 	split.Target = row.Target
-	m := s.moves[service]
+	p := s.rollouts[service]
 	switch {
-	case row.Stage == StageReverted || (m.bad && !row.Stage.Final()):
-		split.Barred = true
-	case row.Stage == StageTrial:
-		split.Share = s.config.Exposure * trialOfExposure
+	case row.Stage == StageReverted || (p.bad && !row.Stage.Final()):
+		split.Blocked = true
+	case row.Stage == StageCanary:
+		split.Share = s.config.Exposure * canaryExposureShare
 	case row.Stage == StageRamp:
 		split.Share = max(rampShare, s.config.Exposure)
-	case row.Stage == StageFull || now.Sub(m.since) < settleTime:
+	case row.Stage == StageFull || now.Sub(p.stageSince) < drainTime:
 		split.Share = 1
 	default:
 		split.Target = ""
@@ -322,10 +327,10 @@
 	return split
 }
 
-// held returns the versions of a service that came so lately that an order for them may not be known yet, sorted.
-func (s *State) held(now time.Time, service vaneyoke.ServiceID, target vaneyoke.SoftwareVersion) []vaneyoke.SoftwareVersion {
+// heldVersions returns, sorted, the versions of a service that appeared so recently that an order for them may not be known yet.
+func (s *State) heldVersions(now time.Time, service vaneyoke.ServiceID, target vaneyoke.SoftwareVersion) []vaneyoke.SoftwareVersion {
 	var held []vaneyoke.SoftwareVersion
-	for version, at := range s.seen[service] {
+	for version, at := range s.firstSeen[service] {
 		if version != target && !at.IsZero() && now.Sub(at) < s.config.Hold {
 			held = append(held, version)
 		}
@@ -334,7 +339,7 @@
 	return held
 }
 
-// Active reports whether anything may follow without a further event than Tick.
+// Active reports whether Tick alone may still cause effects.
 func (s *State) Active() bool {
 	for service, split := range s.splits {
 		if row := s.rows[service]; len(split.Held) > 0 || (split.Target != "" && row.Stage != StageReverted) {
@@ -343,7 +348,7 @@
 	}
 	for service, order := range s.orders {
 		row, ok := s.rows[service]
-		if !ok || !row.Stage.Final() || order.Revision > row.covered() {
+		if !ok || !row.Stage.Final() || order.Revision > row.latestOrder() {
 			return true
 		}
 	}
--- a/decide/rollout/tally.go
+++ b/decide/rollout/tally.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	buckets    = 34                   // of a histogram; the last holds all that is longer than 90 s
-	perOctave  = 2                    // buckets for each doubling of a time
-	shortest   = time.Millisecond     // upper end of the first bucket
-	mostRoutes = 16                   // routes that are counted apart; all others count as one
-	otherRoute = vaneyoke.RouteID("") // stands for them
+	bucketCount        = 34               // of a histogram; the last holds all durations above 90 s
+	bucketsPerDoubling = 2                // per doubling of the duration
+	firstBucketBound   = time.Millisecond // upper end of the first bucket
+	maxRoutes          = 16               // counted separately; all others are counted under otherRoute
+	otherRoute         = vaneyoke.RouteID("")
 )
 
-// Histogram counts times by their place on a scale whose steps are a factor of the root of two.
+// Histogram counts durations by bucket; bucket bounds grow by a factor of the square root of two.
 type Histogram map[int]int
 
-// bucketOf returns the place of a time.
+// bucketOf returns the bucket of a duration.
 func bucketOf(d time.Duration) int {
-	if d <= shortest {
+	if d <= firstBucketBound {
 		return 0
 	}
-	return min(int(math.Ceil(perOctave*math.Log2(float64(d)/float64(shortest)))), buckets-1)
+	return min(int(math.Ceil(bucketsPerDoubling*math.Log2(float64(d)/float64(firstBucketBound)))), bucketCount-1)
 }
 
-// total returns how many times were counted.
+// total returns how many durations were counted.
 func (h Histogram) total() (n int) {
 	for _, count := range h {
 		n += count
@@ -35,8 +35,8 @@
 	return n
 }
 
-// from returns how many times were counted at a place or beyond it.
-func (h Histogram) from(bucket int) (n int) {
+// countFrom returns how many durations were counted in a bucket or above it.
+func (h Histogram) countFrom(bucket int) (n int) {
 	for at, count := range h {
 		if at >= bucket {
 			n += count
@@ -45,34 +45,34 @@
 	return n
 }
 
-// median returns the place of the middle one.
+// median returns the bucket of the median.
 func (h Histogram) median() int {
 	half, seen := (h.total()+1)/2, 0
-	for at := range buckets {
+	for at := range bucketCount {
 		if seen += h[at]; seen >= half {
 			return at
 		}
 	}
-	return buckets - 1
+	return bucketCount - 1
 }
 
-// Side counts how the upstreams on one side of a roll-out answered on one route.
-type Side struct {
-	Answers int       `json:"answers"`         // whole, begun and failed ones
-	Failed  int       `json:"failed"`          // those of them that were failures
-	First   Histogram `json:"first,omitempty"` // times to an answer, or to a stream's first piece
-	Gap     Histogram `json:"gap,omitempty"`   // mean gaps between the pieces of streams
+// VersionStats counts the answers of the target, or of all other versions, on one route.
+type VersionStats struct {
+	Answers  int       `json:"answers"`         // complete answers, started streams and failures
+	Failed   int       `json:"failed"`          // failures among them
+	Latency  Histogram `json:"first,omitempty"` // time to the answer, or to a stream's first chunk
+	ChunkGap Histogram `json:"gap,omitempty"`   // mean gap between the chunks of a stream
 }
 
-func (s *Side) add(o Side) {
+func (s *VersionStats) add(o VersionStats) {
 	s.Answers += o.Answers
 	s.Failed += o.Failed
-	s.First = s.First.plus(o.First)
-	s.Gap = s.Gap.plus(o.Gap)
+	s.Latency = s.Latency.merge(o.Latency)
+	s.ChunkGap = s.ChunkGap.merge(o.ChunkGap)
 }
 
-// plus returns the sum of two histograms; it may change the first.
-func (h Histogram) plus(o Histogram) Histogram {
+// merge returns the sum of two histograms; it may modify h.
+func (h Histogram) merge(o Histogram) Histogram {
 	if len(o) > 0 && h == nil {
 		h = Histogram{}
 	}
@@ -82,108 +82,109 @@
 	return h
 }
 
-// Sides are the two sides of a roll-out on one route.
-type Sides struct {
-	Standing Side `json:"standing"`
-	Target   Side `json:"target"`
+// RouteStats compares the target of a rollout with the versions in use before (the baseline) on one route.
+type RouteStats struct {
+	Baseline VersionStats `json:"standing"`
+	Target   VersionStats `json:"target"`
 }
 
-// sound reports whether a side can have been counted; what a peer tells may be anything.
-func (s *Side) sound() bool {
-	return s.Answers >= 0 && s.Failed >= 0 && s.First.sound() && s.Gap.sound()
+// valid reports whether the counts are possible; a peer may send anything.
+func (s *VersionStats) valid() bool {
+	return s.Answers >= 0 && s.Failed >= 0 && s.Latency.valid() && s.ChunkGap.valid()
 }
 
-func (h Histogram) sound() bool {
+// valid reports whether all buckets exist and no count is negative.
+func (h Histogram) valid() bool {
 	for at, count := range h {
-		if at < 0 || at >= buckets || count < 0 {
+		if at < 0 || at >= bucketCount || count < 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// sound reports whether all of a tally can have been counted.
-func (t Tally) sound() bool {
-	for _, sides := range t {
-		if !sides.Standing.sound() || !sides.Target.sound() {
+// valid reports whether all counts are possible and the number of routes is within its bound.
+func (t Tally) valid() bool {
+	for _, stats := range t {
+		if !stats.Baseline.valid() || !stats.Target.valid() {
 			return false
 		}
 	}
-	return len(t) <= mostRoutes+1
+	return len(t) <= maxRoutes+1
 }
 
-// Tally counts the answers of a roll-out by route.
-type Tally map[vaneyoke.RouteID]Sides
+// Tally counts the answers of a rollout by route.
+type Tally map[vaneyoke.RouteID]RouteStats
 
-// Add adds what was counted elsewhere.
+// Add adds another tally to t.
 func (t Tally) Add(o Tally) {
-	for route, sides := range o {
-		route = t.key(route)
+	for route, stats := range o {
+		route = t.routeKey(route)
 		sum := t[route]
-		sum.Standing.add(sides.Standing)
-		sum.Target.add(sides.Target)
+		sum.Baseline.add(stats.Baseline)
+		sum.Target.add(stats.Target)
 		t[route] = sum
 	}
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (t Tally) Clone() Tally {
 	c := Tally{}
-	for route, sides := range t {
-		sides.Standing = sides.Standing.clone()
-		sides.Target = sides.Target.clone()
-		c[route] = sides
+	for route, stats := range t {
+		stats.Baseline = stats.Baseline.clone()
+		stats.Target = stats.Target.clone()
+		c[route] = stats
 	}
 	return c
 }
 
-func (s Side) clone() Side {
-	s.First, s.Gap = maps.Clone(s.First), maps.Clone(s.Gap)
+func (s VersionStats) clone() VersionStats {
+	s.Latency, s.ChunkGap = maps.Clone(s.Latency), maps.Clone(s.ChunkGap)
 	return s
 }
 
-// key returns the route under which answers on a route are counted.
-func (t Tally) key(route vaneyoke.RouteID) vaneyoke.RouteID {
-	if _, ok := t[route]; ok || len(t) < mostRoutes {
+// routeKey returns the key under which answers on a route are counted.
+func (t Tally) routeKey(route vaneyoke.RouteID) vaneyoke.RouteID {
+	if _, ok := t[route]; ok || len(t) < maxRoutes {
 		return route
 	}
 	return otherRoute
 }
 
-// Answer is how an upstream answered a request.
+// Answer is an observation of how an upstream answered a request.
 type Answer struct {
 	Kind AnswerKind
-	Took time.Duration // to the answer or the first piece; the mean gap between pieces where Kind is AnswerPaced
+	Took time.Duration // to the answer or the first chunk; the mean gap between chunks if Kind is AnswerChunkGap
 }
 
-// AnswerKind is what became of an attempt.
+// AnswerKind is the kind of an observation.
 type AnswerKind int
 
 // The kinds of answer.
 const (
-	AnswerGood   AnswerKind = iota + 1 // a success, or a stream that begins
-	AnswerFailed                       // a failure that the upstream told
-	AnswerLost                         // the upstream broke off, fell silent or sent what is no answer
-	AnswerPaced                        // a stream gave enough pieces for its pace to be known
+	AnswerGood     AnswerKind = iota + 1 // a success, or a stream that has started
+	AnswerFailed                         // a failure that the upstream reported
+	AnswerLost                           // the upstream closed the connection, went silent or sent an invalid answer
+	AnswerChunkGap                       // a stream has sent enough chunks to measure the gap between them
 )
 
-// count adds an answer to one side of a route.
+// count adds an answer to the target's or the baseline's statistics on a route.
 func (t Tally) count(route vaneyoke.RouteID, target bool, a Answer) {
-	route = t.key(route)
-	sides := t[route]
-	side := &sides.Standing
+	route = t.routeKey(route)
+	stats := t[route]
+	side := &stats.Baseline
 	if target {
-		side = &sides.Target
+		side = &stats.Target
 	}
 	switch a.Kind {
 	case AnswerGood:
 		side.Answers++
-		side.First = side.First.plus(Histogram{bucketOf(a.Took): 1})
+		side.Latency = side.Latency.merge(Histogram{bucketOf(a.Took): 1})
 	case AnswerFailed, AnswerLost:
 		side.Answers++
 		side.Failed++
-	case AnswerPaced:
-		side.Gap = side.Gap.plus(Histogram{bucketOf(a.Took): 1})
+	case AnswerChunkGap:
+		side.ChunkGap = side.ChunkGap.merge(Histogram{bucketOf(a.Took): 1})
 	}
-	t[route] = sides
+	t[route] = stats
 }
--- a/decide/rollout/verdict.go
+++ b/decide/rollout/verdict.go
@@ -10,72 +10,73 @@
 	"github.com/vaneyoke/vaneyoke/internal/names"
 )
 
-// The test is Wald's sequential test of two shares: each answer adds the logarithm of how much likelier it is under the one
-// share than under the other, and the sum is held against bounds that follow from the two errors that are accepted.
+// The verdict uses Wald's sequential probability ratio test (SPRT) on the share of failed or slow answers. Each answer adds the logarithm
+// of the ratio of its likelihoods under the shifted and the baseline share; the sum is compared with bounds that follow from the two
+// accepted error rates.
 const (
-	falseAlarm  = 0.001 // chance that a version as good as the standing one is judged bad, for each of a route's three shares
-	missed      = 0.01  // chance that a version which is worse by the shifts below is judged good
-	failShift   = 0.2   // how many more of the answers fail at a bad version
-	slowShift   = 0.5   // how many more of the answers are slow at a bad version
-	slowBuckets = 3     // places beyond the standing version's median from which an answer is slow: more than twice as long
-	leastShare  = 0.02  // share of failures that is taken for usual at the least, because a few come by chance
-	mostShare   = 0.98
-	priorCount  = 10 // answers by which a share that few answers told is drawn to leastShare
-	leastTimes  = 15 // times at the standing version before slowness is judged
+	falseAlarmRate   = 0.001 // chance that a version as good as the baseline is judged bad, for each of a route's three shares
+	missRate         = 0.01  // chance that a version worse by the shifts below is judged good
+	failureShift     = 0.2   // increase in the share of failed answers at a bad version
+	slowShift        = 0.5   // increase in the share of slow answers at a bad version
+	slowBuckets      = 3     // distance from the baseline's median from which an answer is slow: more than twice as long
+	minBaselineShare = 0.02  // least baseline share assumed, because a few failures occur by chance
+	maxBaselineShare = 0.98
+	priorAnswers     = 10 // weight, in answers, of the prior minBaselineShare in a baseline with few answers
+	minBaselineTimes = 15 // durations of the baseline required before slowness is judged
 )
 
 var (
-	badBound  = math.Log((1 - missed) / falseAlarm) // 6.9
-	goodBound = math.Log(missed / (1 - falseAlarm)) // -4.6
+	badBound  = math.Log((1 - missRate) / falseAlarmRate) // 6.9
+	goodBound = math.Log(missRate / (1 - falseAlarmRate)) // -4.6
 )
 
-// Verdict is what the answers so far say of a version.
+// Verdict is the result of comparing a version with the baseline.
 type Verdict int
 
 // The verdicts.
 const (
-	VerdictOpen Verdict = iota + 1 // too few answers, or they leave it open
+	VerdictOpen Verdict = iota + 1 // too few answers, or inconclusive ones
 	VerdictGood
 	VerdictBad
 )
 
-// String names the verdict as it stands in logs.
+// String returns the verdict's name in logs.
 func (v Verdict) String() string { return names.Of(v, "none", "open", "good", "bad") }
 
-// Reason says what decided a roll-out.
+// Reason says why a rollout changed its stage.
 type Reason string
 
 // The reasons.
 const (
-	ReasonFailures Reason = "failures"        // more answers failed than at the standing version
-	ReasonSlow     Reason = "slow"            // answers, or the pieces of streams, took longer than at the standing version
-	ReasonTooFew   Reason = "too_few_answers" // there were not enough answers by the deadline to judge by
-	ReasonNobody   Reason = "no_upstreams"    // no upstream of the version was there by the deadline
-	ReasonGood     Reason = "good"
-	ReasonStands   Reason = "already_stands" // all upstreams have the version
+	ReasonFailures        Reason = "failures"        // more answers failed than at the baseline
+	ReasonSlow            Reason = "slow"            // answers, or the chunks of streams, took longer than at the baseline
+	ReasonTooFew          Reason = "too_few_answers" // too few answers by the deadline for a verdict
+	ReasonNoUpstreams     Reason = "no_upstreams"    // no upstream of the version existed by the deadline
+	ReasonGood            Reason = "good"
+	ReasonAlreadyDeployed Reason = "already_stands" // all upstreams already have the version
 )
 
-// Judge judges a version on each route and on all together: bad on any route is bad; good has to be shown on all together, and
-// no route may speak against it.
-func Judge(t Tally) (Verdict, Reason) {
-	all := Sides{}
-	against := false
+// Evaluate judges the target on each route and on all routes together. It is bad if it is bad on any route. It is good if all routes
+// together show it and no single route has evidence against it.
+func Evaluate(t Tally) (Verdict, Reason) {
+	all := RouteStats{}
+	hasContrary := false
 	for _, route := range sortedRoutes(t) {
-		sides := t[route]
-		all.Standing.Answers += sides.Standing.Answers
-		all.Standing.Failed += sides.Standing.Failed
-		all.Target.Answers += sides.Target.Answers
-		all.Target.Failed += sides.Target.Failed
-		failures, slowness := sides.failures(), sides.slowness()
+		stats := t[route]
+		all.Baseline.Answers += stats.Baseline.Answers
+		all.Baseline.Failed += stats.Baseline.Failed
+		all.Target.Answers += stats.Target.Answers
+		all.Target.Failed += stats.Target.Failed
+		failures, slowness := stats.failureEvidence(), stats.slownessEvidence()
 		switch {
 		case failures >= badBound:
 			return VerdictBad, ReasonFailures
 		case slowness >= badBound:
 			return VerdictBad, ReasonSlow
 		}
-		against = against || failures > 0 || slowness > 0
+		hasContrary = hasContrary || failures > 0 || slowness > 0
 	}
-	if !against && all.failures() <= goodBound {
+	if !hasContrary && all.failureEvidence() <= goodBound {
 		return VerdictGood, ReasonGood
 	}
 	return VerdictOpen, ReasonTooFew
@@ -87,33 +88,34 @@
 	return routes
 }
 
-// failures returns how much speaks for more failures at the target than at the standing version.
-func (s Sides) failures() float64 {
-	usual := (float64(s.Standing.Failed) + leastShare*priorCount) / float64(s.Standing.Answers+priorCount)
-	return evidence(s.Target.Answers, s.Target.Failed, usual, failShift)
+// failureEvidence returns the log-likelihood ratio for more failures at the target than at the baseline.
+func (s RouteStats) failureEvidence() float64 {
+	share := (float64(s.Baseline.Failed) + minBaselineShare*priorAnswers) / float64(s.Baseline.Answers+priorAnswers)
+	return logLikelihoodRatio(s.Target.Answers, s.Target.Failed, share, failureShift)
 }
 
-// slowness returns how much speaks for slower answers at the target than at the standing version.
-func (s Sides) slowness() float64 {
-	return max(slower(s.Standing.First, s.Target.First), slower(s.Standing.Gap, s.Target.Gap))
+// slownessEvidence returns the log-likelihood ratio for slower answers, or slower streams, at the target than at the baseline.
+func (s RouteStats) slownessEvidence() float64 {
+	return max(latencyEvidence(s.Baseline.Latency, s.Target.Latency), latencyEvidence(s.Baseline.ChunkGap, s.Target.ChunkGap))
 }
 
-func slower(standing, target Histogram) float64 {
-	known := standing.total()
-	if known < leastTimes {
+// latencyEvidence returns the log-likelihood ratio for slower durations at the target; 0 while the baseline has too few.
+func latencyEvidence(baseline, target Histogram) float64 {
+	samples := baseline.total()
+	if samples < minBaselineTimes {
 		return 0
 	}
-	slow := standing.median() + slowBuckets
-	usual := (float64(standing.from(slow)) + 1) / float64(known+2)
-	return evidence(target.total(), target.from(slow), usual, slowShift)
+	slow := baseline.median() + slowBuckets
+	share := (float64(baseline.countFrom(slow)) + 1) / float64(samples+2)
+	return logLikelihoodRatio(target.total(), target.countFrom(slow), share, slowShift)
 }
 
-// evidence returns the logarithm of how much likelier hits among n are where the share is shifted than where it is as usual.
-func evidence(n, hits int, usual, shift float64) float64 {
-	usual = min(max(usual, leastShare), mostShare)
-	shifted := min(usual+shift, (1+usual)/2)
-	if shifted <= usual {
+// logLikelihoodRatio returns the logarithm of the ratio of the likelihoods of hits among n under the shifted and the baseline share.
+func logLikelihoodRatio(n, hits int, share, shift float64) float64 {
+	share = min(max(share, minBaselineShare), maxBaselineShare)
+	shifted := min(share+shift, (1+share)/2)
+	if shifted <= share {
 		return 0
 	}
-	return float64(hits)*math.Log(shifted/usual) + float64(n-hits)*math.Log((1-shifted)/(1-usual))
+	return float64(hits)*math.Log(shifted/share) + float64(n-hits)*math.Log((1-shifted)/(1-share))
 }
--- a/decide/rollout/verdict_test.go
+++ b/decide/rollout/verdict_test.go
@@ -12,78 +12,78 @@
 	"github.com/vaneyoke/vaneyoke/decide/rollout"
 )
 
-// behaviour is how the upstreams of a version answer.
+// behaviour describes the answers of a version's upstreams.
 type behaviour struct {
-	fails float64
-	takes float64 // times as long as the standing version
+	failureRate float64
+	slowdown    float64 // factor on the latency of the baseline
 }
 
-// answer draws an answer of a version; usual is the time of the standing one.
-func (b behaviour) answer(rng *rand.Rand, usual time.Duration) rollout.Answer {
-	if rng.Float64() < b.fails {
+// randomAnswer draws an answer of a version; usual is the latency of the baseline.
+func (b behaviour) randomAnswer(rng *rand.Rand, usual time.Duration) rollout.Answer {
+	if rng.Float64() < b.failureRate {
 		return rollout.Answer{Kind: rollout.AnswerFailed, Took: usual}
 	}
-	spread := 0.5 + rng.ExpFloat64()*0.5
-	return rollout.Answer{Kind: rollout.AnswerGood, Took: time.Duration(float64(usual) * spread * max(b.takes, 1))}
+	jitter := 0.5 + rng.ExpFloat64()*0.5
+	return rollout.Answer{Kind: rollout.AnswerGood, Took: time.Duration(float64(usual) * jitter * max(b.slowdown, 1))}
 }
 
-// TestErrorsOfTheVerdict draws answers one by one until the verdict falls, and bounds both errors and how many answers it
-// takes; the standing version fails some calls by itself.
-func TestErrorsOfTheVerdict(t *testing.T) {
-	const rounds, most = 300, 400
+// TestVerdictErrorRates draws answers one by one until there is a verdict, and bounds both error rates and the number of answers needed. In
+// some cases the baseline fails some calls too.
+func TestVerdictErrorRates(t *testing.T) {
+	const trials, maxAnswers = 300, 400
 	cases := map[string]struct {
-		standing, target behaviour
+		baseline, target behaviour
 		isBad            bool
-		mean             int     // answers of the target until the verdict, at the most
-		wrong            float64 // share of wrong verdicts, at the most
+		meanAnswers      int     // largest mean number of the target's answers until the verdict
+		wrongShare       float64 // largest share of wrong verdicts
 	}{
-		"as good":                    {behaviour{}, behaviour{}, false, 25, 0.02},
-		"as good, failing by itself": {behaviour{fails: 0.14}, behaviour{fails: 0.14}, false, 80, 0.02},
-		"a little slower":            {behaviour{}, behaviour{takes: 1.3}, false, 40, 0.08},
-		"fails a half":               {behaviour{}, behaviour{fails: 0.5}, true, 10, 0.02},
-		"fails a quarter":            {behaviour{}, behaviour{fails: 0.25}, true, 25, 0.02},
-		"fails more than by itself":  {behaviour{fails: 0.14}, behaviour{fails: 0.5}, true, 30, 0.02},
-		"three times slower":         {behaviour{}, behaviour{takes: 3}, true, 20, 0.02},
-		"eight times slower":         {behaviour{}, behaviour{takes: 8}, true, 10, 0.02},
+		"equally good":                     {behaviour{}, behaviour{}, false, 25, 0.02},
+		"equally good, baseline fails too": {behaviour{failureRate: 0.14}, behaviour{failureRate: 0.14}, false, 80, 0.02},
+		"slightly slower":                  {behaviour{}, behaviour{slowdown: 1.3}, false, 40, 0.08},
+		"fails half":                       {behaviour{}, behaviour{failureRate: 0.5}, true, 10, 0.02},
+		"fails a quarter":                  {behaviour{}, behaviour{failureRate: 0.25}, true, 25, 0.02},
+		"fails more than the baseline":     {behaviour{failureRate: 0.14}, behaviour{failureRate: 0.5}, true, 30, 0.02},
+		"three times slower":               {behaviour{}, behaviour{slowdown: 3}, true, 20, 0.02},
+		"eight times slower":               {behaviour{}, behaviour{slowdown: 8}, true, 10, 0.02},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(7, 11))
-			wrong, answers, open := 0, 0, 0
-			for range rounds {
-				verdict, n := judged(rng, tc.standing, tc.target, most)
+			wrong, answers, undecided := 0, 0, 0
+			for range trials {
+				verdict, n := answersUntilVerdict(rng, tc.baseline, tc.target, maxAnswers)
 				answers += n
 				switch {
 				case verdict == rollout.VerdictOpen:
-					open++
+					undecided++
 				case (verdict == rollout.VerdictBad) != tc.isBad:
 					wrong++
 				}
 			}
-			t.Logf("wrong %d, open %d of %d, %d answers on the mean", wrong, open, rounds, answers/rounds)
-			must.LessEq(t, tc.wrong*rounds, float64(wrong))
-			must.LessEq(t, 0.03*rounds, float64(open))
-			must.LessEq(t, tc.mean, answers/rounds)
+			t.Logf("wrong %d, undecided %d of %d, mean of %d answers", wrong, undecided, trials, answers/trials)
+			must.LessEq(t, tc.wrongShare*trials, float64(wrong))
+			must.LessEq(t, 0.03*trials, float64(undecided))
+			must.LessEq(t, tc.meanAnswers, answers/trials)
 		})
 	}
 }
 
-// judged draws answers until a verdict falls; the standing version gives nine for each of the target's.
-func judged(rng *rand.Rand, standing, target behaviour, most int) (rollout.Verdict, int) {
-	w := newCounter()
-	for n := 1; n <= most; n++ {
+// answersUntilVerdict draws answers until there is a verdict; the baseline gives nine for each of the target's.
+func answersUntilVerdict(rng *rand.Rand, baseline, target behaviour, maxAnswers int) (rollout.Verdict, int) {
+	c := newCounter()
+	for n := 1; n <= maxAnswers; n++ {
 		for range 9 {
-			w.answered("old", "r", standing.answer(rng, 100*time.Millisecond))
+			c.addAnswer("old", "r", baseline.randomAnswer(rng, 100*time.Millisecond))
 		}
-		w.answered("new", "r", target.answer(rng, 100*time.Millisecond))
-		if verdict, _ := rollout.Judge(w.tally()); verdict != rollout.VerdictOpen {
+		c.addAnswer("new", "r", target.randomAnswer(rng, 100*time.Millisecond))
+		if verdict, _ := rollout.Evaluate(c.tally()); verdict != rollout.VerdictOpen {
 			return verdict, n
 		}
 	}
-	return rollout.VerdictOpen, most
+	return rollout.VerdictOpen, maxAnswers
 }
 
-// counter is a node that counts the answers of a roll-out.
+// counter wraps the state of a node that counts the answers of a rollout.
 type counter struct {
 	state *rollout.State
 	now   time.Time
@@ -91,36 +91,36 @@
 
 func newCounter() *counter {
 	c := &counter{state: rollout.New("vm", rollout.Config{Exposure: 0.1}), now: time.Unix(1000, 0)}
-	c.state.Handle(c.now, rollout.Recorded{Rows: []rollout.Row{{Record: rollout.Record{Service: "s", Target: "new", Order: 5, Stage: rollout.StageTrial}}}})
+	c.state.Handle(c.now, rollout.RecordsUpdated{Rows: []rollout.Row{{Record: rollout.Record{Service: "s", Target: "new", Order: 5, Stage: rollout.StageCanary}}}})
 	return c
 }
 
-func (c *counter) answered(version vaneyoke.SoftwareVersion, route vaneyoke.RouteID, a rollout.Answer) {
+func (c *counter) addAnswer(version vaneyoke.SoftwareVersion, route vaneyoke.RouteID, a rollout.Answer) {
 	c.state.Handle(c.now, rollout.Answered{Upstream: vaneyoke.Upstream{ID: vaneyoke.UpstreamID(version), Service: "s", Version: version}, Route: route, Answer: a})
 }
 
 func (c *counter) tally() rollout.Tally { return c.state.Reports()[0].Tally }
 
-// TestOneRouteAlone has a version fail on one of many routes.
-func TestOneRouteAlone(t *testing.T) {
+// TestBadOnOneRouteIsBad guards against missing failures on one of many routes.
+func TestBadOnOneRouteIsBad(t *testing.T) {
 	c := newCounter()
 	for n := range 30 {
 		for route := range 6 {
-			c.answered("old", vaneyoke.RouteID(fmt.Sprint(route)), rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
+			c.addAnswer("old", vaneyoke.RouteID(fmt.Sprint(route)), rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
 			kind := rollout.AnswerGood
 			if route == 4 && n%2 == 0 {
 				kind = rollout.AnswerFailed
 			}
-			c.answered("new", vaneyoke.RouteID(fmt.Sprint(route)), rollout.Answer{Kind: kind, Took: time.Second})
+			c.addAnswer("new", vaneyoke.RouteID(fmt.Sprint(route)), rollout.Answer{Kind: kind, Took: time.Second})
 		}
 	}
-	verdict, reason := rollout.Judge(c.tally())
+	verdict, reason := rollout.Evaluate(c.tally())
 	must.EqOp(t, rollout.VerdictBad, verdict)
 	must.EqOp(t, rollout.ReasonFailures, reason)
 }
 
-// TestPacesCount has the pieces of a version's streams come several times slower, its first pieces in time.
-func TestPacesCount(t *testing.T) {
+// TestSlowChunksAreBad sends the first chunks of a version's streams in time and the following ones several times slower.
+func TestSlowChunksAreBad(t *testing.T) {
 	c := newCounter()
 	for range 20 {
 		for _, version := range []vaneyoke.SoftwareVersion{"old", "new"} {
@@ -128,16 +128,16 @@
 			if version == "new" {
 				gap *= 4
 			}
-			c.answered(version, "r", rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
-			c.answered(version, "r", rollout.Answer{Kind: rollout.AnswerPaced, Took: gap})
+			c.addAnswer(version, "r", rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
+			c.addAnswer(version, "r", rollout.Answer{Kind: rollout.AnswerChunkGap, Took: gap})
 		}
 	}
-	verdict, reason := rollout.Judge(c.tally())
+	verdict, reason := rollout.Evaluate(c.tally())
 	must.EqOp(t, rollout.VerdictBad, verdict)
 	must.EqOp(t, rollout.ReasonSlow, reason)
 }
 
-// TestLossesCountOnceTheUpstreamAnswersAgain tells a version whose upstream died from one that loses answers.
+// TestLossesCountOnceTheUpstreamAnswersAgain distinguishes a version whose upstream crashed from one that loses answers.
 func TestLossesCountOnceTheUpstreamAnswersAgain(t *testing.T) {
 	for name, tc := range map[string]struct {
 		answersAgain bool
@@ -149,23 +149,23 @@
 		t.Run(name, func(t *testing.T) {
 			c := newCounter()
 			for range 8 {
-				c.answered("old", "r", rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
-				c.answered("new", "r", rollout.Answer{Kind: rollout.AnswerLost})
+				c.addAnswer("old", "r", rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
+				c.addAnswer("new", "r", rollout.Answer{Kind: rollout.AnswerLost})
 			}
 			if tc.answersAgain {
-				c.answered("new", "r", rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
+				c.addAnswer("new", "r", rollout.Answer{Kind: rollout.AnswerGood, Took: time.Second})
 			}
-			verdict, _ := rollout.Judge(c.tally())
+			verdict, _ := rollout.Evaluate(c.tally())
 			must.EqOp(t, tc.verdict, verdict)
 		})
 	}
 }
 
-// TestTallyIsBounded has answers on very many routes; a report stays small.
+// TestTallyIsBounded counts answers on 1000 routes; the report must stay small.
 func TestTallyIsBounded(t *testing.T) {
 	c := newCounter()
 	for route := range 1000 {
-		c.answered("new", vaneyoke.RouteID(fmt.Sprint("route-", route)), rollout.Answer{Kind: rollout.AnswerGood, Took: time.Duration(route) * time.Millisecond})
+		c.addAnswer("new", vaneyoke.RouteID(fmt.Sprint("route-", route)), rollout.Answer{Kind: rollout.AnswerGood, Took: time.Duration(route) * time.Millisecond})
 	}
 	must.LessEq(t, 17, len(c.tally()))
 }
--- a/shell/relay/trial.go
+++ b/shell/relay/trial.go
@@ -22,7 +22,7 @@
 func (s *Session) pacePiece(now time.Time, l *link) {
 	s.heard(now, l)
 	if l.pieces == pacePieces {
-		s.answered(l, rollout.Answer{Kind: rollout.AnswerPaced, Took: now.Sub(l.begunAt) / (pacePieces - 1)})
+		s.answered(l, rollout.Answer{Kind: rollout.AnswerChunkGap, Took: now.Sub(l.begunAt) / (pacePieces - 1)})
 	}
 }
 
--- a/shell/rollouts/exchange.go
+++ b/shell/rollouts/exchange.go
@@ -31,7 +31,7 @@
 
 // stops is the answer: the roll-outs that the node above knows to be bad.
 type stops struct {
-	All []rollout.Stop `json:"all"`
+	All []rollout.ID `json:"all"`
 }
 
 // ServeHTTP takes the reports of a node that follows this one.
@@ -41,7 +41,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	n.handle(steady.Now(), rollout.Reported{From: told.From, Reports: told.All})
+	n.handle(steady.Now(), rollout.ReportReceived{From: told.From, Reports: told.All})
 	n.mu.Lock()
 	answer := stops{All: n.state.Stops()}
 	n.mu.Unlock()
@@ -67,7 +67,7 @@
 		return
 	}
 	if len(answer.All) > 0 {
-		n.handle(steady.Now(), rollout.Heard{Stops: answer.All})
+		n.handle(steady.Now(), rollout.StopsReceived{Stops: answer.All})
 	}
 }
 
--- a/shell/rollouts/fuzz_test.go
+++ b/shell/rollouts/fuzz_test.go
@@ -31,7 +31,7 @@
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		now := time.Unix(1000, 0)
 		n := rollouts.New("vm-0", rollout.Config{}, nil, nobody{}, nobody{}, http.DefaultClient, rollouts.NewMetrics(new(expvar.Map).Init()), log)
-		n.SetRecords(now, []rollout.Row{{Revision: 4, Record: rollout.Record{Service: "lm", Target: "v2", Order: 3, Stage: rollout.StageTrial}}})
+		n.SetRecords(now, []rollout.Row{{Revision: 4, Record: rollout.Record{Service: "lm", Target: "v2", Order: 3, Stage: rollout.StageCanary}}})
 		n.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, rollouts.Path, bytes.NewReader(body)))
 	})
 }
--- a/shell/rollouts/node.go
+++ b/shell/rollouts/node.go
@@ -83,17 +83,17 @@
 
 // SetOrders takes in the orders that stand.
 func (n *Node) SetOrders(now time.Time, orders []rollout.Order) {
-	n.handle(now, rollout.Ordered{Orders: orders})
+	n.handle(now, rollout.OrdersUpdated{Orders: orders})
 }
 
 // SetRecords takes in the records that stand.
 func (n *Node) SetRecords(now time.Time, rows []rollout.Row) {
-	n.handle(now, rollout.Recorded{Rows: rows})
+	n.handle(now, rollout.RecordsUpdated{Rows: rows})
 }
 
 // SetUpstreams takes in the fleet's upstreams.
 func (n *Node) SetUpstreams(now time.Time, all []vaneyoke.Upstream) {
-	n.handle(now, rollout.Upstreams{All: all})
+	n.handle(now, rollout.UpstreamsUpdated{All: all})
 }
 
 // Answered takes in how an upstream answered a request of this node.
@@ -118,10 +118,10 @@
 
 func (n *Node) carryOut(effect rollout.Effect) {
 	switch e := effect.(type) {
-	case rollout.Divide:
+	case rollout.SetSplit:
 		n.divider.SetSplit(e.Service, e.Split)
 		n.log.WithFields(logrus.Fields{
-			"service": e.Service, "target": e.Split.Target, "share": e.Split.Share, "barred": e.Split.Barred, "held": e.Split.Held,
+			"service": e.Service, "target": e.Split.Target, "share": e.Split.Share, "barred": e.Split.Blocked, "held": e.Split.Held,
 		}).Info("requests_divided")
 	case rollout.Stopped:
 		n.metrics.counts.Add("stopped_total", 1)
@@ -169,7 +169,7 @@
 			}
 			continue
 		}
-		n.handle(steady.Now(), rollout.Tick{Running: n.divider.Running(), Reads: n.tree.Reads()})
+		n.handle(steady.Now(), rollout.Tick{Running: n.divider.Running(), ReadsStore: n.tree.Reads()})
 		n.report(ctx)
 		pause.For(ctx, tickEvery)
 	}
