--- a/decide/capacity/demand.go
+++ b/decide/capacity/demand.go
@@ -3,102 +3,104 @@
 import "time"
 
 const (
-	slot     = time.Second
-	smooth   = 3               // slots over which a load is averaged
-	lookBack = 30              // slots whose highest load counts
-	knownAt  = 5 * time.Second // of requests before which the load counts for nothing
-	knownOf  = 20              // requests before which it does not
-	ratioOf  = 10              // requests from which the time that reading takes is learnt
-	waitMost = 1.15            // times the shortest time for a token beyond which prompts are taken to have waited
-	forget   = 1.002           // times by which the shortest time for a token grows each slot
-	covers   = 0.3             // share of the nodes that must have told their load in a while for it to count
-	coversIt = 0.8             // share from which it may lower the plan
+	slotLength             = time.Second
+	smoothingSlots         = 3               // slots over which the load is averaged
+	lookbackSlots          = 30              // slots whose peak load counts
+	minObservationTime     = 5 * time.Second // since the first request, before which the load is unknown
+	minObservedRequests    = 20              // requests before which the load is unknown
+	minRequestsPerEstimate = 10              // requests in an average from which the prefill time per token is estimated
+	queueingTolerance      = 1.15            // factor on the shortest prefill time per token, above which prompts count as queued
+	estimateGrowth         = 1.002           // factor on the shortest prefill time per token in each slot, so that old minima fade
+	minCoverage            = 0.3             // share of the nodes that must have reported for a load to count
+	minCoverageToScaleDown = 0.8             // share of the nodes from which a load may lower the plan
 )
 
-// load is what the nodes told in a slot.
-type load struct {
+// slotLoad is the load that the nodes reported in a slot.
+type slotLoad struct {
 	Load
-	told float64 // share of the nodes that told, on average over the slot
+	coverage float64 // share of the nodes that reported, averaged over the slot
 }
 
-func (l load) add(other load) load { return load{Load: l.Add(other.Load), told: l.told + other.told} }
+func (l slotLoad) add(other slotLoad) slotLoad {
+	return slotLoad{Load: l.Add(other.Load), coverage: l.coverage + other.coverage}
+}
 
-// demand follows the load of a service.
+// demand tracks the load of a service.
 type demand struct {
-	slots    [lookBack + smooth]load
-	at       time.Time // start of the newest slot; zero before the first load
-	since    time.Time // of the first request
-	begun    int
-	perToken float64 // shortest time in seconds that reading took for a token, averaged over a while; 0 while it is not known
+	slots           [lookbackSlots + smoothingSlots]slotLoad
+	slotStart       time.Time // start of the current slot; zero before the first load
+	firstRequest    time.Time // time of the first request
+	requests        int
+	prefillPerToken float64 // shortest prefill time per token in seconds, over averages of several slots; 0 while unknown
 }
 
-// add takes in a load, which a share of the nodes told for a part of a slot.
-func (d *demand) add(now time.Time, l Load, told float64) {
-	d.roll(now)
-	d.slots[0] = d.slots[0].add(load{Load: l, told: told})
-	if l.Begun > 0 && d.begun == 0 {
-		d.since = now
+// add adds a load with its coverage to the current slot.
+func (d *demand) add(now time.Time, l Load, coverage float64) {
+	d.advance(now)
+	d.slots[0] = d.slots[0].add(slotLoad{Load: l, coverage: coverage})
+	if l.FirstChunks > 0 && d.requests == 0 {
+		d.firstRequest = now
 	}
-	d.begun += l.Begun
+	d.requests += l.FirstChunks
 }
 
-// roll begins a new slot for each that has passed.
-func (d *demand) roll(now time.Time) {
-	if d.at.IsZero() {
-		d.at = now
+// advance starts a new slot for each one that has passed.
+func (d *demand) advance(now time.Time) {
+	if d.slotStart.IsZero() {
+		d.slotStart = now
 	}
-	for n := 0; now.Sub(d.at) >= slot; n++ {
+	for n := 0; now.Sub(d.slotStart) >= slotLength; n++ {
 		if n == len(d.slots) {
-			d.at = now
+			d.slotStart = now
 			return
 		}
 		copy(d.slots[1:], d.slots[:len(d.slots)-1])
-		d.slots[0] = load{}
-		d.at = d.at.Add(slot)
-		d.learn()
+		d.slots[0] = slotLoad{}
+		d.slotStart = d.slotStart.Add(slotLength)
+		d.updatePrefillEstimate()
 	}
 }
 
-// learn takes in how long reading took of late. The shortest counts, since what is above it is waiting: otherwise a service that is short of upstreams would seem to need
-// ever more of them.
-func (d *demand) learn() {
-	d.perToken *= forget
+// updatePrefillEstimate updates the prefill time per token from the latest slots. The shortest time counts, because anything above it is
+// queueing: otherwise a service that is short of upstreams would seem to need ever more of them.
+func (d *demand) updatePrefillEstimate() {
+	d.prefillPerToken *= estimateGrowth
 	l := d.sum(1)
-	if l.Begun < ratioOf || l.Tokens == 0 {
+	if l.FirstChunks < minRequestsPerEstimate || l.PromptTokens == 0 {
 		return
 	}
-	ratio := l.Reading.Seconds() / float64(l.Tokens)
-	if d.perToken == 0 || ratio < d.perToken {
-		d.perToken = ratio
+	perToken := l.Prefill.Seconds() / float64(l.PromptTokens)
+	if d.prefillPerToken == 0 || perToken < d.prefillPerToken {
+		d.prefillPerToken = perToken
 	}
 }
 
-// sum returns the load of some slots from one on.
-func (d *demand) sum(first int) (sum load) {
-	for _, l := range d.slots[first : first+smooth] {
+// sum returns the total load of smoothingSlots slots, starting with first.
+func (d *demand) sum(first int) (sum slotLoad) {
+	for _, l := range d.slots[first : first+smoothingSlots] {
 		sum = sum.add(l)
 	}
 	return sum
 }
 
-// known reports whether enough requests came to go by.
+// known reports whether there were enough requests to plan with.
 func (d *demand) known(now time.Time) bool {
-	return d.begun >= knownOf && now.Sub(d.since) >= knownAt
+	return d.requests >= minObservedRequests && now.Sub(d.firstRequest) >= minObservationTime
 }
 
-// need returns how many upstreams serve the highest load of the last while, carried on from the nodes that told theirs to all; the slot under way is not whole. whole says
-// whether hardly any node's was missing lately.
-func (d *demand) need(now time.Time, t *Terms) (most float64, whole bool) {
-	d.roll(now)
-	for first := 1; first+smooth <= len(d.slots); first++ {
+// peakNeed returns how many upstreams serve the peak load of the recent slots, extrapolated from the nodes that reported to all nodes. The
+// current slot is left out because it is incomplete. complete says whether nearly all nodes reported in the latest slots.
+func (d *demand) peakNeed(now time.Time, config *ScalingConfig) (peak float64, complete bool) {
+	d.advance(now)
+	for first := 1; first+smoothingSlots <= len(d.slots); first++ {
 		sum := d.sum(first)
-		told := sum.told / smooth
+		coverage := sum.coverage / smoothingSlots
 		if first == 1 {
-			whole = told >= coversIt
+			complete = coverage >= minCoverageToScaleDown
 		}
-		if told >= covers {
-			most = max(most, t.upstreams(sum.Load, smooth*slot, waitMost*d.perToken)/min(told, 1))
+		if coverage >= minCoverage {
+			peak = max(peak, config.upstreamsNeeded(sum.Load, smoothingSlots*slotLength, queueingTolerance*d.prefillPerToken)/min(coverage, 1))
 		}
 	}
-	return most, whole
+	return peak, complete
 }
--- a/decide/capacity/doc.go
+++ b/decide/capacity/doc.go
@@ -1,3 +1,3 @@
-// Package capacity decides how many upstreams of a service each data centre is to have: from what requests took of those that run, the time that
-// new ones need, their prices, and which of them may be taken away.
+// Package capacity decides how many upstreams of a service to run in each data centre. It considers the load of those that run, the boot time
+// and the prices of new ones, and which of them are preemptible.
 package capacity
--- a/decide/capacity/event.go
+++ b/decide/capacity/event.go
@@ -4,65 +4,66 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Event is something that a node learns.
+// Event is an input of State.
 type Event interface{ event() }
 
-// TermsSet tells the terms of all services whose upstreams can be ordered.
-type TermsSet struct{ All []Terms }
+// ConfigsUpdated carries the configurations of all services whose upstreams can be ordered.
+type ConfigsUpdated struct{ All []ScalingConfig }
 
-// Upstreams tells the fleet's upstreams.
-type Upstreams struct{ All []vaneyoke.Upstream }
+// UpstreamsUpdated carries all upstreams of the fleet.
+type UpstreamsUpdated struct{ All []vaneyoke.Upstream }
 
-// Used tells what requests took of services, at a share of the nodes and for a part of a second: 1 where all nodes have told a second's load.
-type Used struct {
-	Loads map[vaneyoke.ServiceID]Load
-	Told  float64
+// LoadReported carries the load of services. Coverage is the share of the nodes that reported times the reported period in seconds: 1 if all
+// nodes reported a second's load.
+type LoadReported struct {
+	Loads    map[vaneyoke.ServiceID]Load
+	Coverage float64
 }
 
-// Outcome is what became of an order.
+// Outcome is the result of an order.
 type Outcome int
 
 // The outcomes.
 const (
-	OutcomeTaken   Outcome = iota + 1
-	OutcomeScarce          // there are none to be had
-	OutcomeUnknown         // no answer: it may be carried out later
+	OutcomeAccepted   Outcome = iota + 1
+	OutcomeNoCapacity         // no upstreams of the pool are available
+	OutcomeUnknown            // no answer: the order may still be carried out later
 )
 
-// Answered tells what became of an order.
-type Answered struct {
+// OrderResult carries the outcome of an order.
+type OrderResult struct {
 	Order   Order
 	Outcome Outcome
 }
 
-// Tick lets time pass; Orders says whether the node holds the duty to order upstreams of a service.
+// Tick lets time pass; HoldsDuty reports whether the node holds the duty to order upstreams of a service.
 type Tick struct {
-	Orders func(vaneyoke.ServiceID) bool
+	HoldsDuty func(vaneyoke.ServiceID) bool
 }
 
-func (TermsSet) event()  {}
-func (Upstreams) event() {}
-func (Used) event()      {}
-func (Answered) event()  {}
-func (Tick) event()      {}
+func (ConfigsUpdated) event()   {}
+func (UpstreamsUpdated) event() {}
+func (LoadReported) event()     {}
+func (OrderResult) event()      {}
+func (Tick) event()             {}
 
-// Order has the node order how many upstreams a pool is to have; Answered must follow.
+// Order asks for the number of upstreams of a pool to be set; OrderResult must follow.
 type Order struct {
 	Service vaneyoke.ServiceID
 	Pool
-	Count  int
-	Before int     // how many there are
-	Need   float64 // upstreams that serve the load
-	Reason Reason
+	Count   int
+	Current int     // number of live upstreams
+	Need    float64 // planned number of upstreams that serve the load
+	Reason  Reason
 }
 
-// Reason says why upstreams are ordered.
+// Reason is the reason for an order.
 type Reason string
 
 // The reasons.
 const (
-	ReasonCheaper Reason = "cheaper" // the same number of a cheaper kind, while the load is not known
-	ReasonLoad    Reason = "load"    // the load asks for it
-	ReasonShort   Reason = "short"   // upstreams that may be taken away are missing
-	ReasonAgain   Reason = "again"   // the number that was ordered does not stand, or an order got no answer
+	ReasonCheaper  Reason = "cheaper" // as many as there are, of a cheaper kind, while the load is unknown
+	ReasonLoad     Reason = "load"    // the load requires it
+	ReasonShortage Reason = "short"   // preemptible upstreams are missing
+	ReasonRetry    Reason = "again"   // the ordered number was not reached, or the order got no answer
 )
--- a/decide/capacity/state.go
+++ b/decide/capacity/state.go
@@ -11,80 +11,80 @@
 )
 
 const (
-	onDemandShare = 0.2                    // of the need that is kept of upstreams which cannot be taken away
-	headroom      = 1.1                    // times the need that is planned
-	lowerBelow    = 0.65                   // times the planned need below which less is planned
-	lowerMost     = 0.7                    // share of the plan to which it is lowered at a time: traffic that stops may be back at once, and new upstreams need their time
-	lowerAfter    = 10 * time.Second       // since the last change of the plan
-	onDemandHold  = 6 * time.Second        // for which a number of upstreams that cannot be taken away is not lowered
-	scarceHold    = 3 * time.Second        // for which a pool is not asked again that has none
-	settleTime    = 3 * time.Second        // beyond the boot time until an order is to stand
-	mostAgain     = time.Minute            // longest time between two repeats of an order that does not stand
-	listSettle    = 3 * time.Second        // for which the list of upstreams must not have grown before it is gone by while the load is not known
-	dutySettle    = 5 * time.Second        // for which a node must have held the duty before it orders without knowing the load: who has just begun to order may not be done, and a fleet that starts changes its reader
-	missingStep   = 6                      // upstreams by which the number of those that take the place of missing ones changes
-	orderEvery    = 400 * time.Millisecond // shortest time between two orders for a pool
+	onDemandShare      = 0.2                    // share of the need that is kept on on-demand upstreams
+	headroom           = 1.1                    // factor on the need when planning
+	scaleDownThreshold = 0.65                   // share of the plan below which the need must fall for the plan to be lowered
+	scaleDownFactor    = 0.7                    // smallest share of the plan to which it is lowered at a time: traffic that stops may return at once, and new upstreams take time to boot
+	scaleDownCooldown  = 10 * time.Second       // since the last change of the plan, before it is lowered
+	onDemandCooldown   = 6 * time.Second        // after an increase, during which the number of on-demand upstreams is not lowered
+	noCapacityBackoff  = 3 * time.Second        // before ordering again from a pool without available upstreams
+	orderGrace         = 3 * time.Second        // beyond the boot time, within which an order must be fulfilled
+	maxRetryInterval   = time.Minute            // longest time between two repeats of an unfulfilled order
+	listSettleTime     = 3 * time.Second        // time without growth of the list of upstreams, before it is relied on while the load is unknown
+	dutySettleTime     = 5 * time.Second        // time for which a node must have held the duty before it orders with the load unknown: a previous holder may still be ordering, and a starting fleet changes its reader
+	replacementStep    = 6                      // step of the number of on-demand upstreams that replace missing preemptible ones
+	minOrderInterval   = 400 * time.Millisecond // between two orders for a pool
 )
 
-// lateOrders is when an order is repeated after one that got no answer, which may be carried out any time until then.
-var lateOrders = []time.Duration{time.Second, 5 * time.Second, 14 * time.Second}
+// unknownOutcomeRetries are the delays at which an order without an answer is repeated, because it may be carried out at any time until then.
+var unknownOutcomeRetries = []time.Duration{time.Second, 5 * time.Second, 14 * time.Second}
 
 // State decides how many upstreams to order.
 type State struct {
-	services map[vaneyoke.ServiceID]*service
-	all      []vaneyoke.Upstream
-	listed   bool // whether the upstreams are known
+	services  map[vaneyoke.ServiceID]*service
+	upstreams []vaneyoke.Upstream
+	listed    bool // whether the list of upstreams is known
 }
 
-// New returns a state that knows no service.
+// New returns an empty state.
 func New() *State { return &State{services: map[vaneyoke.ServiceID]*service{}} }
 
-// service is what is known of a service.
+// service holds the state of a service.
 type service struct {
-	terms   Terms
-	centres []vaneyoke.DataCentreID // the cheapest first
-	demand  demand
-	live    map[Pool]int
-	planned float64 // upstreams that serve the load; 0 before the load is known
-	changed time.Time
-	raised  map[Pool]time.Time // when a number was last raised
-	scarce  map[Pool]time.Time // until when a pool is not asked
-	ordered map[Pool]*ordered
-	orders  bool      // whether the node held the duty when it was looked last
-	gained  time.Time // when it came to hold it
-	found   int       // most upstreams that stood since then, before it ordered any
-	grown   time.Time // when there were last more than before
+	config          ScalingConfig
+	dataCentres     []vaneyoke.DataCentreID // cheapest first
+	demand          demand
+	live            map[Pool]int
+	planned         float64 // number of upstreams that serve the load; 0 until the load is known
+	plannedAt       time.Time
+	raisedAt        map[Pool]time.Time // when a pool's number was last raised
+	noCapacityUntil map[Pool]time.Time // until when a pool gets no order
+	lastOrders      map[Pool]*lastOrder
+	hadDuty         bool      // whether the node held the duty at the last tick
+	dutySince       time.Time // when the node got the duty
+	initialCount    int       // most live upstreams seen since then, before the node ordered any
+	initialCountAt  time.Time // when initialCount last grew
 }
 
-// ordered is the last order for a pool.
-type ordered struct {
-	count int
-	at    time.Time
-	pause time.Duration // before it is repeated where it does not stand
-	again []time.Time   // when it is repeated in any case
-	under bool          // whether it has no answer yet
+// lastOrder is the last order for a pool.
+type lastOrder struct {
+	count         int
+	at            time.Time
+	retryInterval time.Duration // time before an unfulfilled order is repeated
+	retryAt       []time.Time   // when the order is repeated in any case
+	pending       bool          // whether there is no answer yet
 }
 
-// Handle takes in an event and returns what is to be ordered.
+// Handle processes an event and returns the orders to carry out.
 func (s *State) Handle(now time.Time, ev Event) []Order {
 	switch e := ev.(type) {
-	case TermsSet:
-		s.setTerms(now, e.All)
-	case Upstreams:
-		s.all, s.listed = e.All, true
-		s.count()
-	case Used:
-		for id, v := range s.services {
-			v.demand.add(now, e.Loads[id], e.Told)
+	case ConfigsUpdated:
+		s.setConfigs(now, e.All)
+	case UpstreamsUpdated:
+		s.upstreams, s.listed = e.All, true
+		s.countUpstreams()
+	case LoadReported:
+		for id, svc := range s.services {
+			svc.demand.add(now, e.Loads[id], e.Coverage)
 		}
-	case Answered:
-		if v := s.services[e.Order.Service]; v != nil {
-			v.answered(now, e)
+	case OrderResult:
+		if svc := s.services[e.Order.Service]; svc != nil {
+			svc.handleResult(now, e)
 		}
 	case Tick:
 		var orders []Order
 		for _, id := range slices.Sorted(maps.Keys(s.services)) {
-			orders = append(orders, s.services[id].tick(now, e.Orders(id))...)
+			orders = append(orders, s.services[id].tick(now, e.HoldsDuty(id))...)
 		}
 		return orders
 	}
@@ -94,229 +94,235 @@
 // Services returns the services whose upstreams can be ordered.
 func (s *State) Services() []vaneyoke.ServiceID { return slices.Sorted(maps.Keys(s.services)) }
 
-func (s *State) setTerms(now time.Time, all []Terms) {
+// setConfigs replaces the configurations and keeps the state of known services.
+func (s *State) setConfigs(now time.Time, configs []ScalingConfig) {
 	kept := map[vaneyoke.ServiceID]*service{}
-	for _, t := range all {
-		v := s.services[t.Service]
-		if v == nil {
-			v = &service{changed: now, raised: map[Pool]time.Time{}, scarce: map[Pool]time.Time{}, ordered: map[Pool]*ordered{}}
+	for _, config := range configs {
+		svc := s.services[config.Service]
+		if svc == nil {
+			svc = &service{plannedAt: now, raisedAt: map[Pool]time.Time{}, noCapacityUntil: map[Pool]time.Time{}, lastOrders: map[Pool]*lastOrder{}}
 		}
-		v.terms = t
-		v.centres = slices.SortedFunc(maps.Keys(t.Prices), func(a, b vaneyoke.DataCentreID) int {
-			return cmp.Or(cmp.Compare(t.Prices[a], t.Prices[b]), cmp.Compare(a, b))
+		svc.config = config
+		svc.dataCentres = slices.SortedFunc(maps.Keys(config.Prices), func(a, b vaneyoke.DataCentreID) int {
+			return cmp.Or(cmp.Compare(config.Prices[a], config.Prices[b]), cmp.Compare(a, b))
 		})
-		kept[t.Service] = v
+		kept[config.Service] = svc
 	}
 	s.services = kept
-	s.count()
+	s.countUpstreams()
 }
 
-// count counts the upstreams that are not about to go.
-func (s *State) count() {
+// countUpstreams counts the upstreams that are not leaving, by pool.
+func (s *State) countUpstreams() {
 	if !s.listed {
 		return
 	}
-	for id, v := range s.services {
-		v.live = map[Pool]int{}
-		for i := range s.all {
-			if u := &s.all[i]; u.Service == id && u.State != vaneyoke.StateLeaving {
-				v.live[Pool{u.DataCentre, u.Preemptible}]++
+	for id, svc := range s.services {
+		svc.live = map[Pool]int{}
+		for i := range s.upstreams {
+			if u := &s.upstreams[i]; u.Service == id && u.State != vaneyoke.StateLeaving {
+				svc.live[Pool{u.DataCentre, u.Preemptible}]++
 			}
 		}
 	}
 }
 
-func (v *service) answered(now time.Time, e Answered) {
-	o := v.ordered[e.Order.Pool]
+// handleResult records the outcome of an order and schedules repeats if it is unknown.
+func (svc *service) handleResult(now time.Time, e OrderResult) {
+	o := svc.lastOrders[e.Order.Pool]
 	if o == nil {
 		return
 	}
-	o.under = false
+	o.pending = false
 	switch e.Outcome {
-	case OutcomeTaken:
-	case OutcomeScarce:
-		v.scarce[e.Order.Pool] = now.Add(scarceHold)
+	case OutcomeAccepted:
+	case OutcomeNoCapacity:
+		svc.noCapacityUntil[e.Order.Pool] = now.Add(noCapacityBackoff)
 		o.count = -1
 	case OutcomeUnknown:
-		o.again = nil
-		for _, after := range lateOrders {
-			o.again = append(o.again, now.Add(after))
+		o.retryAt = nil
+		for _, after := range unknownOutcomeRetries {
+			o.retryAt = append(o.retryAt, now.Add(after))
 		}
 	}
 }
 
 // tick returns the orders that are due.
-func (v *service) tick(now time.Time, orders bool) (due []Order) {
-	if !orders || len(v.centres) == 0 || v.live == nil {
-		v.orders = orders && v.orders
+func (svc *service) tick(now time.Time, holdsDuty bool) (due []Order) {
+	if !holdsDuty || len(svc.dataCentres) == 0 || svc.live == nil {
+		svc.hadDuty = holdsDuty && svc.hadDuty
 		return nil
 	}
-	if !v.orders { // what others ordered is not known
-		v.orders = true
-		clear(v.ordered)
-		v.changed, v.gained, v.found = now, now, 0
+	if !svc.hadDuty { // the orders of the previous holder are not known
+		svc.hadDuty = true
+		clear(svc.lastOrders)
+		svc.plannedAt, svc.dutySince, svc.initialCount = now, now, 0
 	}
-	v.look(now)
-	v.plan(now)
-	if v.planned == 0 && (v.found == 0 || now.Sub(v.grown) < listSettle || now.Sub(v.gained) < dutySettle) {
-		return nil // the list may not be whole yet, and fewer would be ordered than there are
+	svc.recordInitialCount(now)
+	svc.updatePlan(now)
+	if svc.planned == 0 && (svc.initialCount == 0 || now.Sub(svc.initialCountAt) < listSettleTime || now.Sub(svc.dutySince) < dutySettleTime) {
+		return nil // the list may be incomplete, and fewer would be ordered than there are
 	}
-	targets, reason := v.targets()
-	for _, pool := range v.pools() {
-		if order, ok := v.order(now, pool, targets[pool], reason); ok {
+	targets, reason := svc.targets()
+	for _, pool := range svc.pools() {
+		if order, ok := svc.order(now, pool, targets[pool], reason); ok {
 			due = append(due, order)
 		}
 	}
 	return due
 }
 
-// look notes how many upstreams there are before any are ordered.
-func (v *service) look(now time.Time) {
-	if n := v.standing(); n > v.found && len(v.ordered) == 0 {
-		v.found, v.grown = n, now
+// recordInitialCount records the number of live upstreams until the node orders any.
+func (svc *service) recordInitialCount(now time.Time) {
+	if n := svc.liveCount(); n > svc.initialCount && len(svc.lastOrders) == 0 {
+		svc.initialCount, svc.initialCountAt = n, now
 	}
 }
 
-// plan follows the load: up at once, down in steps where it is clearly lower for a while, so that the number does not swing with it.
-func (v *service) plan(now time.Time) {
-	if !v.demand.known(now) {
+// updatePlan follows the load: up at once, down in steps if the load is clearly lower for a while (hysteresis), so that the number of
+// upstreams does not oscillate.
+func (svc *service) updatePlan(now time.Time) {
+	if !svc.demand.known(now) {
 		return
 	}
-	need, whole := v.demand.need(now, &v.terms)
-	lower := whole && need < lowerBelow*v.planned && now.Sub(v.changed) >= lowerAfter
+	need, complete := svc.demand.peakNeed(now, &svc.config)
+	lower := complete && need < scaleDownThreshold*svc.planned && now.Sub(svc.plannedAt) >= scaleDownCooldown
 	switch {
-	case need > v.planned:
-		v.planned, v.changed = math.Ceil(need*headroom), now
+	case need > svc.planned:
+		svc.planned, svc.plannedAt = math.Ceil(need*headroom), now
 	case lower:
-		v.planned, v.changed = max(math.Ceil(need*headroom), math.Floor(lowerMost*v.planned), 1), now
+		svc.planned, svc.plannedAt = max(math.Ceil(need*headroom), math.Floor(scaleDownFactor*svc.planned), 1), now
 	}
 }
 
-// pools returns the pools, those of upstreams that may be taken away first: the others are let go only once these are there.
-func (v *service) pools() (all []Pool) {
+// pools returns the pools, preemptible ones first: on-demand upstreams are released only once the preemptible ones exist.
+func (svc *service) pools() (all []Pool) {
 	for _, preemptible := range []bool{true, false} {
-		if preemptible && !v.hasPreemptible() {
+		if preemptible && !svc.hasPreemptible() {
 			continue
 		}
-		for _, centre := range v.centres {
+		for _, centre := range svc.dataCentres {
 			all = append(all, Pool{centre, preemptible})
 		}
 	}
 	return all
 }
 
-func (v *service) hasPreemptible() bool { return v.terms.Preemptible > 0 && v.terms.Preemptible < 1 }
+func (svc *service) hasPreemptible() bool {
+	return svc.config.PreemptiblePriceRatio > 0 && svc.config.PreemptiblePriceRatio < 1
+}
 
-// standing returns how many upstreams of both kinds there are.
-func (v *service) standing() (n int) {
-	for _, count := range v.live {
+// liveCount returns the number of live upstreams, preemptible and on-demand.
+func (svc *service) liveCount() (n int) {
+	for _, count := range svc.live {
 		n += count
 	}
 	return n
 }
 
-// targets returns how many upstreams each pool is to have. The load is to be served without any one data centre, by upstreams that may be taken away; a share of on-demand ones
-// cannot be, and on-demand ones take the place of those that are missing, until they are there again. While the load is not known, as many are kept as there are.
-func (v *service) targets() (map[Pool]int, Reason) {
-	need, reason := v.planned, ReasonLoad
-	centres := float64(len(v.centres))
+// targets returns how many upstreams each pool is to have. Preemptible upstreams are to serve the load even if any one data centre fails. A
+// share of on-demand upstreams is kept beside them, and more replace missing preemptible ones until these are back. While the load is
+// unknown, the total number stays as it is.
+func (svc *service) targets() (map[Pool]int, Reason) {
+	need, reason := svc.planned, ReasonLoad
+	centres := float64(len(svc.dataCentres))
 	total := need
 	switch {
 	case need == 0:
-		need, reason = float64(v.found), ReasonCheaper
+		need, reason = float64(svc.initialCount), ReasonCheaper
 		total = need
 	case centres > 1:
 		total = need * centres / (centres - 1)
 	}
 	targets := map[Pool]int{}
-	if !v.hasPreemptible() {
-		v.spread(targets, total)
+	if !svc.hasPreemptible() {
+		svc.spreadOnDemand(targets, total)
 		return targets, reason
 	}
 	each := int(math.Ceil(total / centres))
-	there := 0
-	for _, centre := range v.centres {
+	existing := 0
+	for _, centre := range svc.dataCentres {
 		pool := Pool{centre, true}
-		room := v.terms.Most - max(v.standingOnDemand(centre), v.onDemandEach(need))
+		room := svc.config.Max - max(svc.onDemandCount(centre), svc.minOnDemand(need))
 		targets[pool] = max(min(each, room), 0)
-		there += min(v.live[pool], targets[pool])
+		existing += min(svc.live[pool], targets[pool])
 	}
-	onDemand := float64(v.onDemandEach(need)) * centres
-	if missing := need - float64(there); missing > onDemand {
-		onDemand = min(math.Ceil(missing/missingStep)*missingStep, math.Ceil(need))
+	onDemand := float64(svc.minOnDemand(need)) * centres
+	if missing := need - float64(existing); missing > onDemand {
+		onDemand = min(math.Ceil(missing/replacementStep)*replacementStep, math.Ceil(need))
 		if reason == ReasonLoad {
-			reason = ReasonShort
+			reason = ReasonShortage
 		}
 	}
-	v.spread(targets, onDemand)
+	svc.spreadOnDemand(targets, onDemand)
 	return targets, reason
 }
 
-// standingOnDemand returns how many upstreams that cannot be taken away a data centre has or is to have. The list is gone by only before any were ordered: it
-// holds those that have just ended beside those that took their place.
-func (v *service) standingOnDemand(centre vaneyoke.DataCentreID) int {
+// onDemandCount returns how many on-demand upstreams a data centre has or has been ordered to have. The list of upstreams counts only until there is
+// an order, because it holds upstreams that have just ended beside their replacements.
+func (svc *service) onDemandCount(centre vaneyoke.DataCentreID) int {
 	pool := Pool{centre, false}
-	if o := v.ordered[pool]; o != nil && o.count >= 0 {
+	if o := svc.lastOrders[pool]; o != nil && o.count >= 0 {
 		return o.count
 	}
-	return v.live[pool]
+	return svc.live[pool]
 }
 
-// onDemandEach returns how many upstreams of each data centre are never taken away.
-func (v *service) onDemandEach(need float64) int {
-	return max(int(math.Ceil(need*onDemandShare/float64(len(v.centres)))), v.terms.Least, 1)
+// minOnDemand returns how many on-demand upstreams each data centre is to have at least.
+func (svc *service) minOnDemand(need float64) int {
+	return max(int(math.Ceil(need*onDemandShare/float64(len(svc.dataCentres)))), svc.config.Min, 1)
 }
 
-// spread divides upstreams that cannot be taken away among the data centres, what does not divide goes to the cheapest.
-func (v *service) spread(targets map[Pool]int, total float64) {
+// spreadOnDemand spreads on-demand upstreams evenly over the data centres; the remainder goes to the cheapest.
+func (svc *service) spreadOnDemand(targets map[Pool]int, total float64) {
 	left := int(math.Ceil(total))
-	for i, centre := range v.centres {
-		share := (left + len(v.centres) - i - 1) / (len(v.centres) - i)
-		room := max(v.terms.Most-targets[Pool{centre, true}], v.terms.Least)
-		n := max(min(share, room), v.terms.Least)
+	for i, centre := range svc.dataCentres {
+		share := (left + len(svc.dataCentres) - i - 1) / (len(svc.dataCentres) - i)
+		room := max(svc.config.Max-targets[Pool{centre, true}], svc.config.Min)
+		n := max(min(share, room), svc.config.Min)
 		targets[Pool{centre, false}] = n
 		left = max(left-n, 0)
 	}
 }
 
-// order returns an order for a pool where one is due.
-func (v *service) order(now time.Time, pool Pool, target int, reason Reason) (Order, bool) {
-	o := v.ordered[pool]
-	stands := v.live[pool]
-	before := stands
+// order returns an order for a pool if one is due.
+func (svc *service) order(now time.Time, pool Pool, target int, reason Reason) (Order, bool) {
+	o := svc.lastOrders[pool]
+	live := svc.live[pool]
+	current := live
 	if o != nil && o.count >= 0 {
-		before = o.count
+		current = o.count
 	}
-	if target >= before {
-		if target > before {
-			v.raised[pool] = now
+	if target >= current {
+		if target > current {
+			svc.raisedAt[pool] = now
 		}
-	} else if !pool.Preemptible && (now.Sub(v.raised[pool]) < onDemandHold || now.Sub(v.gained) < onDemandHold) {
-		target = before
+	} else if !pool.Preemptible && (now.Sub(svc.raisedAt[pool]) < onDemandCooldown || now.Sub(svc.dutySince) < onDemandCooldown) {
+		target = current
 	}
 	switch {
-	case now.Before(v.scarce[pool]):
+	case now.Before(svc.noCapacityUntil[pool]):
 		return Order{}, false
 	case o == nil:
-		o = &ordered{pause: v.terms.Boot + settleTime}
-		v.ordered[pool] = o
-		if target == stands {
+		o = &lastOrder{retryInterval: svc.config.BootTime + orderGrace}
+		svc.lastOrders[pool] = o
+		if target == live {
 			o.count, o.at = target, now
 			return Order{}, false
 		}
-	case o.under || now.Sub(o.at) < orderEvery:
+	case o.pending || now.Sub(o.at) < minOrderInterval:
 		return Order{}, false
 	case o.count != target:
-		o.pause = v.terms.Boot + settleTime
-	case len(o.again) > 0 && !now.Before(o.again[0]):
-		o.again = o.again[1:]
-		reason = ReasonAgain
-	case stands != target && now.Sub(o.at) >= o.pause:
-		o.pause = min(2*o.pause, mostAgain)
-		reason = ReasonAgain
+		o.retryInterval = svc.config.BootTime + orderGrace
+	case len(o.retryAt) > 0 && !now.Before(o.retryAt[0]):
+		o.retryAt = o.retryAt[1:]
+		reason = ReasonRetry
+	case live != target && now.Sub(o.at) >= o.retryInterval:
+		o.retryInterval = min(2*o.retryInterval, maxRetryInterval)
+		reason = ReasonRetry
 	default:
 		return Order{}, false
 	}
-	o.count, o.at, o.under = target, now, true
-	return Order{Pool: pool, Service: v.terms.Service, Count: target, Before: stands, Need: v.planned, Reason: reason}, true
+	o.count, o.at, o.pending = target, now, true
+	return Order{Pool: pool, Service: svc.config.Service, Count: target, Current: live, Need: svc.planned, Reason: reason}, true
 }
--- a/shell/duties/calls.go
+++ b/shell/duties/calls.go
@@ -102,7 +102,7 @@
 func (n *Node) orderLocked(now time.Time, order capacity.Order) {
 	fence, ok := n.duties[DutyCapacity].Holds(now)
 	if !ok {
-		n.plan.Handle(now, capacity.Answered{Order: order, Outcome: capacity.OutcomeUnknown})
+		n.plan.Handle(now, capacity.OrderResult{Order: order, Outcome: capacity.OutcomeUnknown})
 		return
 	}
 	n.duties[DutyCapacity].under++
@@ -112,7 +112,7 @@
 		reply, err := n.platform.Order(ctx, fence, order)
 		n.metrics.counts.Add("orders_total", 1)
 		n.log.WithFields(logrus.Fields{
-			"service": order.Service, "data_centre": order.DataCentre, "preemptible": order.Preemptible, "count": order.Count, "before": order.Before,
+			"service": order.Service, "data_centre": order.DataCentre, "preemptible": order.Preemptible, "count": order.Count, "before": order.Current,
 			"need": order.Need, "reason": order.Reason, "fence": uint64(fence), "outcome": reply.String(), "error": err,
 		}).Info("upstreams_ordered")
 		n.mu.Lock()
@@ -120,16 +120,16 @@
 		after := steady.Now()
 		scarce := reply == ReplyRefused && order.Preemptible // a token that is too low shows at the next on-demand order
 		n.called(after, DutyCapacity, fence, reply, reply == ReplyRefused && !scarce)
-		n.plan.Handle(after, capacity.Answered{Order: order, Outcome: outcomeOf(reply, scarce)})
+		n.plan.Handle(after, capacity.OrderResult{Order: order, Outcome: outcomeOf(reply, scarce)})
 	}()
 }
 
 func outcomeOf(reply Reply, scarce bool) capacity.Outcome {
 	switch {
 	case scarce:
-		return capacity.OutcomeScarce
+		return capacity.OutcomeNoCapacity
 	case reply == ReplyTaken:
-		return capacity.OutcomeTaken
+		return capacity.OutcomeAccepted
 	default:
 		return capacity.OutcomeUnknown
 	}
--- a/shell/duties/exchange.go
+++ b/shell/duties/exchange.go
@@ -87,9 +87,9 @@
 	if told <= 0 || told > time.Duration(members)*longestTold {
 		return
 	}
-	maps.DeleteFunc(loads, func(_ vaneyoke.ServiceID, load capacity.Load) bool { return !load.Sound() })
+	maps.DeleteFunc(loads, func(_ vaneyoke.ServiceID, load capacity.Load) bool { return !load.Valid() })
 	if n.isRoot() {
-		n.plan.Handle(steady.Now(), capacity.Used{Loads: loads, Told: told.Seconds() / float64(members)})
+		n.plan.Handle(steady.Now(), capacity.LoadReported{Loads: loads, Coverage: told.Seconds() / float64(members)})
 		return
 	}
 	n.told += told
--- a/shell/duties/node.go
+++ b/shell/duties/node.go
@@ -143,21 +143,21 @@
 func (n *Node) reportsUsage() bool { return n.config.Usage.Length > 0 }
 
 // SetTerms takes in the terms on which upstreams are ordered.
-func (n *Node) SetTerms(now time.Time, all []capacity.Terms) {
+func (n *Node) SetTerms(now time.Time, all []capacity.ScalingConfig) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.ordered)
 	for _, t := range all {
 		n.ordered[t.Service] = true
 	}
-	n.plan.Handle(now, capacity.TermsSet{All: all})
+	n.plan.Handle(now, capacity.ConfigsUpdated{All: all})
 }
 
 // SetUpstreams takes in the fleet's upstreams.
 func (n *Node) SetUpstreams(now time.Time, all []vaneyoke.Upstream) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.plan.Handle(now, capacity.Upstreams{All: all})
+	n.plan.Handle(now, capacity.UpstreamsUpdated{All: all})
 }
 
 // Began counts a request of a workspace that an upstream began.
@@ -222,7 +222,7 @@
 		}
 	}
 	_, holds := n.duties[DutyCapacity].Holds(now)
-	for _, order := range n.plan.Handle(now, capacity.Tick{Orders: func(vaneyoke.ServiceID) bool { return holds }}) {
+	for _, order := range n.plan.Handle(now, capacity.Tick{HoldsDuty: func(vaneyoke.ServiceID) bool { return holds }}) {
 		n.orderLocked(now, order)
 	}
 }
--- a/shell/relay/meter.go
+++ b/shell/relay/meter.go
@@ -27,7 +27,7 @@
 func (s *Session) tookReading(now time.Time, l *link) {
 	s.count()
 	if s.relay.meter != nil && !l.sentAt.IsZero() {
-		s.relay.meter.Used(s.need.Service, capacity.Load{Begun: 1, Reading: now.Sub(l.sentAt), Tokens: s.need.Bytes})
+		s.relay.meter.Used(s.need.Service, capacity.Load{FirstChunks: 1, Prefill: now.Sub(l.sentAt), PromptTokens: s.need.Bytes})
 	}
 }
 
@@ -38,8 +38,8 @@
 	case s.relay.meter == nil:
 	case !l.begunAt.IsZero():
 		ran := now.Sub(l.begunAt)
-		s.relay.meter.Used(s.need.Service, capacity.Load{Running: ran, Held: float64(s.need.Bytes+l.pieces) * ran.Seconds()})
+		s.relay.meter.Used(s.need.Service, capacity.Load{Decode: ran, KVTokenSeconds: float64(s.need.Bytes+l.pieces) * ran.Seconds()})
 	case outcome == placement.OutcomeLost && !l.resumed:
-		s.relay.meter.Used(s.need.Service, capacity.Load{Vain: s.need.Bytes})
+		s.relay.meter.Used(s.need.Service, capacity.Load{LostTokens: s.need.Bytes})
 	}
 }
