--- a/decide/placement/split.go
+++ b/decide/placement/split.go
@@ -69,7 +69,7 @@
 	switch {
 	case sp.isTarget(e):
 		switch {
-		case sp.Barred:
+		case sp.Blocked:
 			return false
 		case sp.isComplete():
 			return !fallback
@@ -97,7 +97,7 @@
 // fleet's share equals each node's without coordination.
 func (s *State) DrawCanary(rng *rand.Rand, service vaneyoke.ServiceID) bool {
 	sp := s.splits[service]
-	return sp != nil && !sp.Barred && sp.Share > 0 && rng.Float64() < sp.Share
+	return sp != nil && !sp.Blocked && sp.Share > 0 && rng.Float64() < sp.Share
 }
 
 // InFlightByVersion returns the attempts in flight by service and version.
