--- a/decide/lease/doc.go
+++ b/decide/lease/doc.go
@@ -1,3 +1,3 @@
-// Package lease decides which node holds a duty that one node does at a time, and when its holder may act. A holder proves its lease by the time at
-// which its last renewal was sent, and every holder has a higher fencing token than the one before.
+// Package lease elects the node that performs a duty, with a lease and a fencing token. The lease runs from when the last successful renewal was sent,
+// not from when its answer came, and each new holder has a higher fencing token than the one before.
 package lease
--- a/decide/lease/event.go
+++ b/decide/lease/event.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// Event is something that a node learns.
+// Event is an input of the state machine.
 type Event interface{ event() }
 
-// Tick lets time pass. Want says whether the node would hold the lease, Clean whether nothing that the duty sent is under way.
+// Tick is the periodic event. Want says whether the node wants to hold the lease, Drained whether none of the duty's calls is in flight.
 type Tick struct {
-	Want  bool
-	Clean bool
+	Want    bool
+	Drained bool
 }
 
-// Written says that a write that was sent at a time has been carried out.
+// Written reports that the write sent at SentAt was applied.
 type Written struct {
 	Row    Row
 	SentAt time.Time
 }
 
-// Raced says that a write was not carried out, because the row has another revision.
-type Raced struct{ Row Row }
+// Conflict reports that a write was not applied, because the row has another revision; Row is the current row.
+type Conflict struct{ Row Row }
 
-// Failed says that a write got no answer, or was refused; it may have been carried out, or may be later while its condition holds.
+// Failed reports that a write got no answer or was refused. It may have been applied, or may still be while its condition holds.
 type Failed struct{}
 
-// Refused says that the platform has seen a higher token than the one that it was sent.
-type Refused struct{ Fence Fence }
+// Refused reports that the platform refused a call, because it has seen a higher token than this one.
+type Refused struct{ Token FencingToken }
 
-// Leaving says that the node ends.
-type Leaving struct{ Clean bool }
+// NodeStopping reports that the node is shutting down; Drained is as in Tick.
+type NodeStopping struct{ Drained bool }
 
-func (Tick) event()    {}
-func (Written) event() {}
-func (Raced) event()   {}
-func (Failed) event()  {}
-func (Refused) event() {}
-func (Leaving) event() {}
+func (Tick) event()         {}
+func (Written) event()      {}
+func (Conflict) event()     {}
+func (Failed) event()       {}
+func (Refused) event()      {}
+func (NodeStopping) event() {}
 
-// Effect is something that the node has to do.
+// Effect is an action that the caller of Handle has to carry out.
 type Effect interface{ effect() }
 
-// Write has the node write the record where its row still has a revision, 0 for no row; Written, Raced or Failed must follow.
+// Write stores the record if its row still has the given revision, 0 for no row; Written, Conflict or Failed must follow.
 type Write struct{ Row Row }
 
-// Gained says that the node holds the lease.
-type Gained struct {
-	Fence  Fence
-	Before Record // of the holder before
+// Acquired reports that the node now holds the lease.
+type Acquired struct {
+	Token    FencingToken
+	Previous Record // of the previous holder
 }
 
-// Lost says that the node does not hold the lease any more.
+// Lost reports that the node no longer holds the lease.
 type Lost struct {
-	Fence  Fence
+	Token  FencingToken
 	Reason Reason
 }
 
 // Reason says why a lease was lost.
 type Reason string
 
-// The reasons.
+// The reasons for which a lease is lost.
 const (
-	ReasonLapsed   Reason = "lapsed"   // no renewal was confirmed in time
+	ReasonExpired  Reason = "lapsed"   // no renewal was confirmed in time
 	ReasonTaken    Reason = "taken"    // another node holds it
-	ReasonReleased Reason = "released" // given up
+	ReasonReleased Reason = "released" // the holder released it
 	ReasonRefused  Reason = "refused"  // the platform has seen a higher token
 )
 
-func (Write) effect()  {}
-func (Gained) effect() {}
-func (Lost) effect()   {}
+func (Write) effect()    {}
+func (Acquired) effect() {}
+func (Lost) effect()     {}
--- a/decide/lease/record.go
+++ b/decide/lease/record.go
@@ -9,16 +9,16 @@
 // Name names a duty.
 type Name string
 
-// Fence is a fencing token: it rises with each holder of a duty; 0 stands for none.
-type Fence uint64
+// FencingToken rises with each holder of a duty; 0 stands for none.
+type FencingToken uint64
 
-// Record is what the store holds of a lease.
+// Record is the stored state of a lease.
 type Record struct {
-	Holder vaneyoke.VMID
-	Life   vaneyoke.Incarnation // of the holder's process
-	Fence  Fence
-	Free   bool // whether the holder has given the lease up
-	Clean  bool // whether nothing that it sent is still under way; counts where it is free
+	Holder      vaneyoke.VMID
+	Incarnation vaneyoke.Incarnation // of the holder's process
+	Token       FencingToken
+	Released    bool // whether the holder has released the lease
+	Drained     bool // whether none of the holder's calls was in flight at the release; meaningful only where Released is set
 }
 
 // Row is a record and the revision of its row, 0 for no row.
@@ -27,20 +27,20 @@
 	Revision vaneyoke.Revision
 }
 
-// Config holds the bounds of a lease.
+// Config holds the timing of a lease.
 type Config struct {
-	Term   time.Duration // for which a renewal counts, from when it was sent
-	Wait   time.Duration // longest time that a call of the duty may take
-	Settle time.Duration // for which a new holder does nothing, unless the one before gave the lease up with nothing under way; 0 where the platform checks tokens
+	TTL           time.Duration // a renewal is valid for this long from when it was sent
+	CallTimeout   time.Duration // longest duration of a call of the duty
+	TakeoverDelay time.Duration // time for which a new holder is inactive, unless the previous one released the lease drained; 0 where the platform checks tokens
 }
 
-// renewals is how often a lease is renewed during its term.
-const renewals = 3
+// renewalsPerTTL is how often a lease is renewed during its TTL.
+const renewalsPerTTL = 3
 
-// margin is the part of the term for which others wait beyond it, since clocks do not run alike.
-const margin = 10
+// clockDriftDivisor sets the part of the TTL for which other nodes wait beyond it, because clocks run at different rates.
+const clockDriftDivisor = 10
 
-func (c Config) renewEvery() time.Duration { return c.Term / renewals }
+func (c Config) renewInterval() time.Duration { return c.TTL / renewalsPerTTL }
 
-// lapse is how long a row must stand unchanged before another node takes the lease.
-func (c Config) lapse() time.Duration { return c.Term + c.Term/margin }
+// takeoverAfter is how long a row must remain unchanged before another node takes over the lease.
+func (c Config) takeoverAfter() time.Duration { return c.TTL + c.TTL/clockDriftDivisor }
--- a/decide/lease/state.go
+++ b/decide/lease/state.go
@@ -6,79 +6,79 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// mostDoublings bounds how far a token is raised at a time. The platform does not say which token it has seen, so that each refusal doubles the step.
-const mostDoublings = 40
+// maxTokenDoublings bounds how far a token is raised at a time. The platform does not say which token it has seen, so each refusal doubles the step.
+const maxTokenDoublings = 40
 
-// State is what a node knows of one lease.
+// State is a node's view of one lease.
 type State struct {
-	self   vaneyoke.VMID
-	life   vaneyoke.Incarnation
-	config Config
-
-	row     Row       // as it was last known
-	seenAt  time.Time // since when the node knows that the row has this revision; zero while it knows nothing
-	held    Fence     // 0 where the node does not hold the lease
-	heldAt  time.Time // since when
-	until   time.Time // until when the lease is proven
-	actFrom time.Time // before which the holder does nothing
-
-	refused  Fence // highest token that the platform refused
-	refusals int   // in a row, without a lease that was held for a term between them
-	highest  Fence // no lower than any token given out, as far as rows told
-	writing  bool
-	sentAt   time.Time // of the last write
-	retryAt  time.Time // before which nothing is written
-	unwanted time.Time // since when the node does not want the lease; zero while it does
-	leaving  bool
+	self        vaneyoke.VMID
+	incarnation vaneyoke.Incarnation
+	config      Config
+
+	row        Row          // last known
+	observedAt time.Time    // when the node learned that the row has this revision; zero while it knows nothing
+	held       FencingToken // 0 where the node does not hold the lease
+	acquiredAt time.Time
+	expiresAt  time.Time
+	activeFrom time.Time // the holder is inactive before this
+
+	refused       FencingToken // highest token that the platform refused
+	refusals      int          // in a row, without a lease held for a TTL between them
+	highest       FencingToken // no lower than any token issued, as far as the rows seen tell
+	writing       bool
+	lastWriteAt   time.Time // when the last write was sent
+	retryAt       time.Time // nothing is written before this
+	unwantedSince time.Time // zero while the node wants the lease
+	stopping      bool
 
 	effects []Effect
 }
 
-// New returns the state of a node that knows nothing of the lease; life tells the node's process from all others.
-func New(self vaneyoke.VMID, life vaneyoke.Incarnation, config Config) *State {
-	return &State{self: self, life: life, config: config}
+// New returns the state of a node that knows nothing of the lease; incarnation distinguishes the node's process from all others.
+func New(self vaneyoke.VMID, incarnation vaneyoke.Incarnation, config Config) *State {
+	return &State{self: self, incarnation: incarnation, config: config}
 }
 
-// Handle takes in an event and returns what the node has to do.
+// Handle processes an event and returns the effects to carry out.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = nil
 	s.expire(now)
 	switch e := ev.(type) {
 	case Tick:
-		s.want(now, e.Want)
-		s.decide(now, e.Clean)
+		s.setWanted(now, e.Want)
+		s.advance(now, e.Drained)
 	case Written:
 		s.written(now, e)
-	case Raced:
-		s.raced(now, e.Row)
+	case Conflict:
+		s.conflict(now, e.Row)
 	case Failed:
 		s.writing = false
-		s.retryAt = now.Add(s.config.renewEvery() / 2)
+		s.retryAt = now.Add(s.config.renewInterval() / 2)
 	case Refused:
-		s.refuse(e.Fence)
-	case Leaving:
-		s.leaving = true
-		s.decide(now, e.Clean)
+		s.tokenRefused(e.Token)
+	case NodeStopping:
+		s.stopping = true
+		s.advance(now, e.Drained)
 	}
 	return s.effects
 }
 
-// Holds returns the token with which the node may act now; ok is false where it must not act. Whatever is sent must be given up after the
-// configured wait.
-func (s *State) Holds(now time.Time) (fence Fence, ok bool) {
-	if s.held == 0 || now.Before(s.actFrom) || now.Add(s.config.Wait).After(s.until) {
+// ActiveToken returns the token with which the node may call the platform now; ok is false where it must not call. A call must be abandoned after
+// Config.CallTimeout.
+func (s *State) ActiveToken(now time.Time) (token FencingToken, ok bool) {
+	if s.held == 0 || now.Before(s.activeFrom) || now.Add(s.config.CallTimeout).After(s.expiresAt) {
 		return 0, false
 	}
 	return s.held, true
 }
 
-// Row returns the row as it was last known; ok is false while nothing is known.
-func (s *State) Row() (row Row, ok bool) { return s.row, !s.seenAt.IsZero() }
+// Row returns the last known row; ok is false while nothing is known.
+func (s *State) Row() (row Row, ok bool) { return s.row, !s.observedAt.IsZero() }
 
-// expire notes that the lease is not proven any more.
+// expire drops a lease whose TTL is over.
 func (s *State) expire(now time.Time) {
-	if s.held != 0 && !now.Before(s.until) {
-		s.lose(ReasonLapsed)
+	if s.held != 0 && !now.Before(s.expiresAt) {
+		s.lose(ReasonExpired)
 	}
 }
 
@@ -86,121 +86,123 @@
 	if s.held == 0 {
 		return
 	}
-	s.effects = append(s.effects, Lost{Fence: s.held, Reason: reason})
-	s.held, s.until = 0, time.Time{}
+	s.effects = append(s.effects, Lost{Token: s.held, Reason: reason})
+	s.held, s.expiresAt = 0, time.Time{}
 }
 
-func (s *State) want(now time.Time, want bool) {
+func (s *State) setWanted(now time.Time, want bool) {
 	switch {
 	case want:
-		s.unwanted = time.Time{}
-	case s.unwanted.IsZero():
-		s.unwanted = now
+		s.unwantedSince = time.Time{}
+	case s.unwantedSince.IsZero():
+		s.unwantedSince = now
 	}
 }
 
-// refuse gives up a token that the platform does not take; the node needs a higher one.
-func (s *State) refuse(fence Fence) {
-	if fence <= s.refused {
+// tokenRefused drops a lease whose token the platform refuses; the node needs a higher token.
+func (s *State) tokenRefused(token FencingToken) {
+	if token <= s.refused {
 		return // of a call that was sent before the last refusal was known
 	}
-	s.refused = fence
+	s.refused = token
 	s.refusals++
 	if s.held != 0 && s.held <= s.refused {
 		s.lose(ReasonRefused)
 	}
 }
 
-func (s *State) decide(now time.Time, clean bool) {
+// advance renews or releases a held lease, and otherwise tries to acquire it.
+func (s *State) advance(now time.Time, drained bool) {
 	if s.writing || now.Before(s.retryAt) {
 		return
 	}
 	if s.held != 0 {
-		s.keep(now, clean)
+		s.renewOrRelease(now, drained)
 		return
 	}
-	if s.leaving || !s.unwanted.IsZero() || !s.mayTake(now) {
+	if s.stopping || !s.unwantedSince.IsZero() || !s.mayAcquire(now) {
 		return
 	}
-	s.write(now, Record{Holder: s.self, Life: s.life, Fence: s.nextFence()})
+	s.write(now, Record{Holder: s.self, Incarnation: s.incarnation, Token: s.nextToken()})
 }
 
-// keep renews the lease, or gives it up. It is not given up before it was held for a term: another node that held it just before must not act
-// again so soon.
-func (s *State) keep(now time.Time, clean bool) {
-	done := s.leaving || (!s.unwanted.IsZero() && now.Sub(s.unwanted) >= s.config.Term)
+// renewOrRelease renews the lease, or releases it. It is not released before it was held for a TTL: another node that held it just before must not
+// act again so soon.
+func (s *State) renewOrRelease(now time.Time, drained bool) {
+	done := s.stopping || (!s.unwantedSince.IsZero() && now.Sub(s.unwantedSince) >= s.config.TTL)
 	switch {
-	case done && now.Sub(s.heldAt) >= s.config.Term:
-		free := s.row.Record
-		free.Free, free.Clean = true, clean
+	case done && now.Sub(s.acquiredAt) >= s.config.TTL:
+		released := s.row.Record
+		released.Released, released.Drained = true, drained
 		s.lose(ReasonReleased)
-		s.write(now, free)
-	case s.leaving: // it lapses
-	case now.Sub(s.sentAt) >= s.config.renewEvery():
-		if now.Sub(s.heldAt) >= s.config.Term {
+		s.write(now, released)
+	case s.stopping: // it expires
+	case now.Sub(s.lastWriteAt) >= s.config.renewInterval():
+		if now.Sub(s.acquiredAt) >= s.config.TTL {
 			s.refusals = 0
 		}
 		s.write(now, s.row.Record)
 	}
 }
 
-// mayTake reports whether the node may try to take the lease: nobody has it, or who had it has not renewed it for so long that it cannot be proven any more.
-func (s *State) mayTake(now time.Time) bool {
+// mayAcquire reports whether the node may try to acquire the lease: nobody holds it, or its holder has not renewed it for so long that it must have
+// expired.
+func (s *State) mayAcquire(now time.Time) bool {
 	switch {
-	case s.seenAt.IsZero(), s.row.Revision == 0, s.row.Free:
+	case s.observedAt.IsZero(), s.row.Revision == 0, s.row.Released:
 		return true
 	case s.isOwn(s.row.Record):
 		return true
 	default:
-		return now.Sub(s.seenAt) >= s.config.lapse()
+		return now.Sub(s.observedAt) >= s.config.takeoverAfter()
 	}
 }
 
-func (s *State) isOwn(r Record) bool { return r.Holder == s.self && r.Life == s.life }
+func (s *State) isOwn(r Record) bool { return r.Holder == s.self && r.Incarnation == s.incarnation }
 
-// nextFence returns the token to write. A node that finds itself in the row keeps its token, unless that was refused. A row's revision comes from a counter of
-// all writes to the store and is no lower than any token given out, also where the row was lost.
-func (s *State) nextFence() Fence {
-	if s.isOwn(s.row.Record) && !s.row.Free && s.row.Fence > s.refused {
-		return s.row.Fence
+// nextToken returns the token to write. A node that is already the holder in the row keeps its token, unless that was refused. A row's revision comes
+// from a counter of all writes to the store, so it is no lower than any token issued, even where the row was lost.
+func (s *State) nextToken() FencingToken {
+	if s.isOwn(s.row.Record) && !s.row.Released && s.row.Token > s.refused {
+		return s.row.Token
 	}
-	return max(s.highest, s.refused) + 1<<min(s.refusals, mostDoublings)
+	return max(s.highest, s.refused) + 1<<min(s.refusals, maxTokenDoublings)
 }
 
 func (s *State) write(now time.Time, record Record) {
-	s.writing, s.sentAt = true, now
+	s.writing, s.lastWriteAt = true, now
 	s.effects = append(s.effects, Write{Row: Row{Record: record, Revision: s.row.Revision}})
 }
 
-func (s *State) learn(now time.Time, row Row) {
-	s.row, s.seenAt = row, now
-	s.highest = max(s.highest, row.Fence, Fence(row.Revision))
+func (s *State) observe(now time.Time, row Row) {
+	s.row, s.observedAt = row, now
+	s.highest = max(s.highest, row.Token, FencingToken(row.Revision))
 }
 
 func (s *State) written(now time.Time, e Written) {
-	before := s.row.Record
+	previous := s.row.Record
 	s.writing = false
-	s.learn(now, e.Row)
-	until := e.SentAt.Add(s.config.Term)
-	if e.Row.Free || !s.isOwn(e.Row.Record) || e.Row.Fence <= s.refused || !now.Before(until) {
+	s.observe(now, e.Row)
+	expiresAt := e.SentAt.Add(s.config.TTL)
+	if e.Row.Released || !s.isOwn(e.Row.Record) || e.Row.Token <= s.refused || !now.Before(expiresAt) {
 		return
 	}
-	s.until = until
-	if s.held == e.Row.Fence {
+	s.expiresAt = expiresAt
+	if s.held == e.Row.Token {
 		return
 	}
-	s.held, s.heldAt, s.actFrom = e.Row.Fence, now, now
-	keepsToken, wasClean := s.isOwn(before) && before.Fence == s.held, before.Free && before.Clean
-	if !keepsToken && !wasClean {
-		s.actFrom = now.Add(s.config.Settle)
+	s.held, s.acquiredAt, s.activeFrom = e.Row.Token, now, now
+	keepsToken, wasDrained := s.isOwn(previous) && previous.Token == s.held, previous.Released && previous.Drained
+	if !keepsToken && !wasDrained {
+		s.activeFrom = now.Add(s.config.TakeoverDelay)
 	}
-	s.effects = append(s.effects, Gained{Fence: s.held, Before: before})
+	s.effects = append(s.effects, Acquired{Token: s.held, Previous: previous})
 }
 
-func (s *State) raced(now time.Time, row Row) {
+func (s *State) conflict(now time.Time, row Row) {
 	s.writing = false
-	s.learn(now, row)
-	if s.held != 0 && (!s.isOwn(row.Record) || row.Free || row.Fence != s.held) {
+	s.observe(now, row)
+	if s.held != 0 && (!s.isOwn(row.Record) || row.Released || row.Token != s.held) {
 		s.lose(ReasonTaken)
 	}
 }
--- a/process/node/duties_wire.go
+++ b/process/node/duties_wire.go
@@ -75,11 +75,11 @@
 
 func dutyConfig(s settings.Duties) duties.Config {
 	config := duties.Config{
-		Lease: lease.Config{Term: s.Lease, Wait: s.Lease / dutyWaitShare},
+		Lease: lease.Config{TTL: s.Lease, CallTimeout: s.Lease / dutyWaitShare},
 		Usage: usage.Config{Length: s.Window, Late: s.Late},
 	}
 	if !s.Fencing {
-		config.Lease.Settle = s.Lease
+		config.Lease.TakeoverDelay = s.Lease
 	}
 	return config
 }
--- a/shell/duties/calls.go
+++ b/shell/duties/calls.go
@@ -71,7 +71,7 @@
 
 // reportLocked sends a window's report, as long as the lease is proven.
 func (n *Node) reportLocked(e usage.Send) {
-	fence, ok := n.duties[DutyUsage].Holds(steady.Now())
+	fence, ok := n.duties[DutyUsage].ActiveToken(steady.Now())
 	if !ok {
 		go n.keep(usage.Sent{Window: e.Window})
 		return
@@ -79,7 +79,7 @@
 	n.duties[DutyUsage].under++
 	wall := n.clock.Wall(steady.Now())
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.Wait)
+		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.CallTimeout)
 		defer cancel()
 		reply, err := n.platform.Report(ctx, fence, e.Window, e.Counts)
 		n.metrics.counts.Add("usage_reports_total", 1)
@@ -100,14 +100,14 @@
 
 // orderLocked sends an order, as long as the lease is proven.
 func (n *Node) orderLocked(now time.Time, order capacity.Order) {
-	fence, ok := n.duties[DutyCapacity].Holds(now)
+	fence, ok := n.duties[DutyCapacity].ActiveToken(now)
 	if !ok {
 		n.plan.Handle(now, capacity.Answered{Order: order, Outcome: capacity.OutcomeUnknown})
 		return
 	}
 	n.duties[DutyCapacity].under++
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.Wait)
+		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.CallTimeout)
 		defer cancel()
 		reply, err := n.platform.Order(ctx, fence, order)
 		n.metrics.counts.Add("orders_total", 1)
--- a/shell/duties/fuzz_test.go
+++ b/shell/duties/fuzz_test.go
@@ -31,10 +31,10 @@
 }
 func (away) Load(context.Context) (usage.Loaded, error)                      { return usage.Loaded{}, errAway }
 func (away) Commit(context.Context, usage.Commit) (vaneyoke.Revision, error) { return 0, errAway }
-func (away) Report(context.Context, lease.Fence, usage.Window, usage.Counts) (duties.Reply, error) {
+func (away) Report(context.Context, lease.FencingToken, usage.Window, usage.Counts) (duties.Reply, error) {
 	return duties.ReplyNone, errAway
 }
-func (away) Order(context.Context, lease.Fence, capacity.Order) (duties.Reply, error) {
+func (away) Order(context.Context, lease.FencingToken, capacity.Order) (duties.Reply, error) {
 	return duties.ReplyNone, errAway
 }
 func (away) Above() (feed.Member, bool)  { return feed.Member{}, false }
@@ -49,7 +49,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.Fuzz(func(_ *testing.T, body []byte) {
-		config := duties.Config{Lease: lease.Config{Term: time.Second, Wait: time.Second / 4}, Usage: usage.Config{Length: time.Second, Late: 4 * time.Second}}
+		config := duties.Config{Lease: lease.Config{TTL: time.Second, CallTimeout: time.Second / 4}, Usage: usage.Config{Length: time.Second, Late: 4 * time.Second}}
 		n := duties.New("vm-0", 1, config, away{}, away{}, away{}, away{}, http.DefaultClient, duties.NewMetrics(new(expvar.Map).Init()), log)
 		n.SetTerms(time.Unix(1000, 0), []capacity.Terms{{Service: "lm", Most: 3, Prices: map[vaneyoke.DataCentreID]float64{"a": 1}}})
 		for range 2 {
--- a/shell/duties/leases.go
+++ b/shell/duties/leases.go
@@ -13,9 +13,9 @@
 
 func (n *Node) tickLease(now time.Time, name lease.Name, want bool) {
 	d := n.duties[name]
-	var event lease.Event = lease.Tick{Want: want, Clean: d.clean(now)}
+	var event lease.Event = lease.Tick{Want: want, Drained: d.clean(now)}
 	if n.leaving {
-		event = lease.Leaving{Clean: d.clean(now)}
+		event = lease.NodeStopping{Drained: d.clean(now)}
 	}
 	n.leaseLocked(now, name, event)
 }
@@ -26,14 +26,14 @@
 		switch e := effect.(type) {
 		case lease.Write:
 			go n.writeLease(name, e.Row)
-		case lease.Gained:
+		case lease.Acquired:
 			n.metrics.counts.Add("leases_gained_total", 1)
 			n.log.WithFields(logrus.Fields{
-				"duty": name, "fence": uint64(e.Fence), "before": e.Before.Holder, "before_fence": uint64(e.Before.Fence), "clean": e.Before.Free && e.Before.Clean,
+				"duty": name, "fence": uint64(e.Token), "before": e.Previous.Holder, "before_fence": uint64(e.Previous.Token), "clean": e.Previous.Released && e.Previous.Drained,
 			}).Info("lease_gained")
 		case lease.Lost:
 			n.metrics.counts.Add("leases_lost_total", 1)
-			n.log.WithFields(logrus.Fields{"duty": name, "fence": uint64(e.Fence), "reason": e.Reason}).Info("lease_lost")
+			n.log.WithFields(logrus.Fields{"duty": name, "fence": uint64(e.Token), "reason": e.Reason}).Info("lease_lost")
 		}
 	}
 }
@@ -50,9 +50,9 @@
 	case err == nil:
 		event = lease.Written{Row: stands, SentAt: sentAt}
 	case vaneyoke.CodeOf(err) == vaneyoke.CodeStoreRace:
-		event = lease.Raced{Row: stands}
+		event = lease.Conflict{Row: stands}
 	default:
-		n.log.WithFields(logrus.Fields{"duty": name, "fence": uint64(row.Fence), "error": err}).Info("lease_unwritten")
+		n.log.WithFields(logrus.Fields{"duty": name, "fence": uint64(row.Token), "error": err}).Info("lease_unwritten")
 		event = lease.Failed{}
 	}
 	n.mu.Lock()
@@ -61,13 +61,13 @@
 }
 
 // called notes how a call of a duty came out.
-func (n *Node) called(now time.Time, name lease.Name, fence lease.Fence, reply Reply, refused bool) {
+func (n *Node) called(now time.Time, name lease.Name, fence lease.FencingToken, reply Reply, refused bool) {
 	d := n.duties[name]
 	d.under--
 	if reply == ReplyNone {
 		d.silentAt = now
 	}
 	if refused {
-		n.leaseLocked(now, name, lease.Refused{Fence: fence})
+		n.leaseLocked(now, name, lease.Refused{Token: fence})
 	}
 }
--- a/shell/duties/metrics.go
+++ b/shell/duties/metrics.go
@@ -20,9 +20,9 @@
 
 // LeaseView is what a node knows of a lease.
 type LeaseView struct {
-	Holder vaneyoke.VMID `json:"holder"` // as it was last known
-	Fence  lease.Fence   `json:"fence"`
-	Held   bool          `json:"held"` // whether this node holds it
+	Holder vaneyoke.VMID      `json:"holder"` // as it was last known
+	Fence  lease.FencingToken `json:"fence"`
+	Held   bool               `json:"held"` // whether this node holds it
 }
 
 // tellLeases has the leases told as a node knows them.
@@ -33,8 +33,8 @@
 		views := map[lease.Name]LeaseView{}
 		for name, d := range n.duties {
 			row, known := d.Row()
-			if _, held := d.Holds(steady.Now()); known {
-				views[name] = LeaseView{Holder: row.Holder, Fence: row.Fence, Held: held}
+			if _, held := d.ActiveToken(steady.Now()); known {
+				views[name] = LeaseView{Holder: row.Holder, Fence: row.Token, Held: held}
 			}
 		}
 		return views
--- a/shell/duties/node.go
+++ b/shell/duties/node.go
@@ -61,9 +61,9 @@
 // Platform takes the calls of duties.
 type Platform interface {
 	// Report reports the counts of a window.
-	Report(ctx context.Context, fence lease.Fence, window usage.Window, counts usage.Counts) (Reply, error)
+	Report(ctx context.Context, fence lease.FencingToken, window usage.Window, counts usage.Counts) (Reply, error)
 	// Order orders upstreams.
-	Order(ctx context.Context, fence lease.Fence, o capacity.Order) (Reply, error)
+	Order(ctx context.Context, fence lease.FencingToken, o capacity.Order) (Reply, error)
 }
 
 // Tree tells the node's place among the others.
@@ -216,12 +216,12 @@
 	n.tickLease(now, DutyUsage, root && n.reportsUsage())
 	n.tickLease(now, DutyCapacity, root && len(n.ordered) > 0)
 	if n.reportsUsage() {
-		_, holds := n.duties[DutyUsage].Holds(now)
+		_, holds := n.duties[DutyUsage].ActiveToken(now)
 		for _, effect := range n.book.Handle(now, usage.Tick{Wall: n.clock.Wall(now), Writes: root, Reports: holds}) {
 			n.keepLocked(effect)
 		}
 	}
-	_, holds := n.duties[DutyCapacity].Holds(now)
+	_, holds := n.duties[DutyCapacity].ActiveToken(now)
 	for _, order := range n.plan.Handle(now, capacity.Tick{Orders: func(vaneyoke.ServiceID) bool { return holds }}) {
 		n.orderLocked(now, order)
 	}
