--- a/decide/usage/clock.go
+++ b/decide/usage/clock.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	sampleEvery = 500 * time.Millisecond // time between two samples of the wall clock
-	mostSamples = 121                    // that are kept: a clock that jumps and returns within half of their time moves nothing
+	sampleInterval = 500 * time.Millisecond // minimum time between two samples of the wall clock
+	maxSamples     = 121                    // samples kept: a jump that is reversed within half of their time span changes nothing
 )
 
-// Clock tells the time of day from a steady clock and the middle one of what the wall clock has said lately, which a wall clock that jumps for a while
-// does not move.
+// Clock derives the wall-clock time from a monotonic clock and the median offset of recent samples of the wall clock, which a temporary jump of the
+// wall clock does not change.
 type Clock struct {
-	offsets []time.Duration // of the wall clock from the steady one, the oldest first
-	last    time.Time       // steady time of the last sample
-	offset  time.Duration
+	offsets    []time.Duration // of the wall clock from the monotonic clock, oldest first
+	lastSample time.Time       // monotonic time
+	offset     time.Duration
 }
 
-// Sample takes in what both clocks say.
+// Sample records a reading of both clocks.
 func (c *Clock) Sample(now, wall time.Time) {
-	if len(c.offsets) > 0 && now.Sub(c.last) < sampleEvery {
+	if len(c.offsets) > 0 && now.Sub(c.lastSample) < sampleInterval {
 		return
 	}
-	c.last = now
-	if len(c.offsets) == mostSamples {
+	c.lastSample = now
+	if len(c.offsets) == maxSamples {
 		c.offsets = slices.Delete(c.offsets, 0, 1)
 	}
 	c.offsets = append(c.offsets, time.Duration(wall.UnixNano()-now.UnixNano()))
@@ -32,5 +32,5 @@
 	c.offset = sorted[len(sorted)/2]
 }
 
-// Wall returns the time of day at a steady time; it is known after the first sample.
+// Wall returns the wall-clock time at a monotonic time; it is valid after the first sample.
 func (c *Clock) Wall(now time.Time) time.Time { return time.Unix(0, now.UnixNano()+int64(c.offset)) }
--- a/decide/usage/counts.go
+++ b/decide/usage/counts.go
@@ -8,19 +8,21 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Window numbers the windows of the wall clock from the start of 1970.
+// Window is the number of a window of the wall clock, counted from the Unix epoch.
 type Window int64
 
-// At returns the window of a time.
-func At(wall time.Time, length time.Duration) Window { return Window(wall.UnixNano() / int64(length)) }
+// WindowAt returns the window that contains a time.
+func WindowAt(wall time.Time, length time.Duration) Window {
+	return Window(wall.UnixNano() / int64(length))
+}
 
 // End returns the time at which the window ends.
 func (w Window) End(length time.Duration) time.Time { return time.Unix(0, int64(w+1)*int64(length)) }
 
-// Counts are requests by workspace.
+// Counts holds the number of requests of each workspace.
 type Counts map[vaneyoke.WorkspaceID]int
 
-// Windows are counts by window.
+// Windows holds the counts of each window.
 type Windows map[Window]Counts
 
 func (w Windows) count(window Window, workspace vaneyoke.WorkspaceID, n int) {
@@ -30,13 +32,13 @@
 	w[window][workspace] += n
 }
 
-// oldest returns the oldest windows, in order, but no more than so many.
-func (w Windows) oldest(most int) []Window {
+// oldest returns the oldest windows in order, at most limit of them.
+func (w Windows) oldest(limit int) []Window {
 	all := slices.Sorted(maps.Keys(w))
-	return all[:min(most, len(all))]
+	return all[:min(limit, len(all))]
 }
 
-// size returns how many counts there are.
+// size returns the number of workspace counts in all windows.
 func (w Windows) size() (n int) {
 	for _, counts := range w {
 		n += len(counts)
@@ -44,17 +46,17 @@
 	return n
 }
 
-// bytes estimates how many bytes the counts take in a row.
-func (c Counts) bytes() (n int) {
+// estimatedBytes estimates the encoded size of the counts in a row.
+func (c Counts) estimatedBytes() (n int) {
 	for workspace := range c {
-		n += bytesOf(workspace)
+		n += workspaceBytes(workspace)
 	}
 	return n
 }
 
-func bytesOf(workspace vaneyoke.WorkspaceID) int {
-	const numberAndMarks = 12
-	return len(workspace) + numberAndMarks
+func workspaceBytes(workspace vaneyoke.WorkspaceID) int {
+	const countAndPunctuation = 12
+	return len(workspace) + countAndPunctuation
 }
 
 func (c Counts) total() (n int) {
@@ -64,36 +66,36 @@
 	return n
 }
 
-// Batch is what a node hands on at a time; it is the same each time that it is offered.
+// Batch is a set of counts that a node sends to its parent node; a retry sends it unchanged but for Again.
 type Batch struct {
 	Origin vaneyoke.VMID
 	Life   vaneyoke.Incarnation // of the origin's process
-	Seq    uint64               // rises with each batch of a life
-	Again  bool                 // whether it was offered before without an answer, and may be in the store already
+	Seq    uint64               // rises with each batch of an incarnation
+	Again  bool                 // whether it was sent before without an answer, so that it may be in the store already
 	Counts Windows
 }
 
-func (b *Batch) is(other *Batch) bool {
+func (b *Batch) sameAs(other *Batch) bool {
 	return b.Origin == other.Origin && b.Life == other.Life && b.Seq == other.Seq
 }
 
 const (
-	mostAhead  = 60            // windows by which a node's clock may be ahead of another's
-	mostBehind = 20_000        // windows by which counts may be late
-	mostCount  = 1_000_000_000 // requests of a workspace in a window
+	maxWindowsAhead  = 60            // windows by which a node's clock may be ahead of another's clock
+	maxWindowsBehind = 20_000        // windows by which counts may be late
+	maxCount         = 1_000_000_000 // requests of a workspace in a window
 )
 
-// Sound reports whether a node of this build may have handed the batch on, in a window.
-func (b *Batch) Sound(here Window) bool {
+// Valid reports whether a node of this build can have sent the batch during the current window.
+func (b *Batch) Valid(current Window) bool {
 	if b.Origin == "" || b.Seq == 0 {
 		return false
 	}
 	for window, counts := range b.Counts {
-		if window > here+mostAhead || window < here-mostBehind {
+		if window > current+maxWindowsAhead || window < current-maxWindowsBehind {
 			return false
 		}
 		for workspace, n := range counts {
-			if workspace == "" || n < 1 || n > mostCount {
+			if workspace == "" || n < 1 || n > maxCount {
 				return false
 			}
 		}
@@ -101,43 +103,43 @@
 	return true
 }
 
-// Mark says which batch of a node was taken last.
-type Mark struct {
+// Watermark identifies the last batch of a node that was merged.
+type Watermark struct {
 	Life   vaneyoke.Incarnation
 	Seq    uint64
-	Window Window // in which it was taken
+	Window Window // in which it was merged
 }
 
-// mostMarks bounds the nodes that marks are kept of; who has not handed on anything for longest is forgotten first.
-const mostMarks = 128
+// maxWatermarks bounds the nodes with a watermark; the node whose last batch is oldest is evicted first.
+const maxWatermarks = 128
 
-// Marks are the last batches taken, by their origin.
-type Marks map[vaneyoke.VMID]Mark
+// Watermarks holds the watermark of each origin.
+type Watermarks map[vaneyoke.VMID]Watermark
 
-// covers reports whether a batch was taken before.
-func (m Marks) covers(b *Batch) bool {
-	mark, known := m[b.Origin]
-	return known && mark.Life == b.Life && b.Seq <= mark.Seq
+// covers reports whether a batch was merged before.
+func (m Watermarks) covers(b *Batch) bool {
+	watermark, known := m[b.Origin]
+	return known && watermark.Life == b.Life && b.Seq <= watermark.Seq
 }
 
-// take notes that a batch is taken.
-func (m Marks) take(b *Batch, now Window) {
-	m[b.Origin] = Mark{Life: b.Life, Seq: b.Seq, Window: now}
-	if len(m) <= mostMarks {
+// record sets the watermark to a batch that is merged.
+func (m Watermarks) record(b *Batch, now Window) {
+	m[b.Origin] = Watermark{Life: b.Life, Seq: b.Seq, Window: now}
+	if len(m) <= maxWatermarks {
 		return
 	}
 	oldest := b.Origin
-	for origin, mark := range m {
-		if mark.Window < m[oldest].Window || mark.Window == m[oldest].Window && origin < oldest {
+	for origin, watermark := range m {
+		if watermark.Window < m[oldest].Window || watermark.Window == m[oldest].Window && origin < oldest {
 			oldest = origin
 		}
 	}
 	delete(m, oldest)
 }
 
-func (m Marks) clone() Marks {
+func (m Watermarks) clone() Watermarks {
 	if m == nil {
-		return Marks{}
+		return Watermarks{}
 	}
 	return maps.Clone(m)
 }
--- a/decide/usage/doc.go
+++ b/decide/usage/doc.go
@@ -1,3 +1,3 @@
-// Package usage decides how the requests that upstreams began are counted by workspace and window of the wall clock, so that each window has exactly one
-// set of counts, whoever sends it.
+// Package usage counts the requests that upstreams begin, by workspace and window of the wall clock. Each window has exactly one set of counts in the
+// store, whichever node reports it.
 package usage
--- a/decide/usage/event.go
+++ b/decide/usage/event.go
@@ -6,93 +6,93 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Row is a window as the store holds it.
+// Row is a window's row in the store.
 type Row struct {
 	Window   Window
 	Counts   Counts
-	Fixed    bool              // whether it does not change any more
-	Revision vaneyoke.Revision // 0 for a row that is not there
+	Final    bool              // whether the counts do not change any more
+	Revision vaneyoke.Revision // 0 for a missing row
 }
 
-// Ledger is the store's row that every write goes by.
+// Ledger is the row that every transaction updates, if it still has the expected revision.
 type Ledger struct {
-	Floor    Window // the first window that has not been reported
-	Marks    Marks  // of the batches that the rows hold
-	Revision vaneyoke.Revision
+	FirstUnreported Window     // earlier windows have been reported
+	Watermarks      Watermarks // of the batches merged into the rows
+	Revision        vaneyoke.Revision
 }
 
-// Event is something that a node learns.
+// Event is an input of a Reporter.
 type Event interface{ event() }
 
-// Offered hands the node a batch that is to be written to the store.
-type Offered struct{ Batch Batch }
+// BatchReceived delivers a batch to be written to the store.
+type BatchReceived struct{ Batch Batch }
 
-// Loaded tells what the store holds.
+// Loaded delivers the rows in the store.
 type Loaded struct {
 	Ledger Ledger
 	Rows   []Row
 }
 
-// Committed says that the last transaction has been carried out, and the revision that its rows have.
+// Committed reports that the last transaction was applied; its rows have the revision.
 type Committed struct{ Revision vaneyoke.Revision }
 
-// Failed says that the last call to the store got no answer, was refused, or that rows had other revisions; it may have been carried out.
+// Failed reports that the last call to the store got no answer, was refused, or met rows with other revisions; it may have been applied.
 type Failed struct{}
 
-// Sent says how the platform answered a report.
-type Sent struct {
-	Window Window
-	Taken  bool
+// ReportSent reports whether the platform accepted a report.
+type ReportSent struct {
+	Window   Window
+	Accepted bool
 }
 
-// Tick tells the wall clock, and whether the node may write to the store and, as the holder of the duty, report.
+// Tick is the periodic event: it carries the wall-clock time, and whether the node may write to the store and, as the holder of the duty, send reports.
 type Tick struct {
-	Wall    time.Time
-	Writes  bool
-	Reports bool
+	Wall      time.Time
+	MayWrite  bool
+	MayReport bool
 }
 
-func (Offered) event()   {}
-func (Loaded) event()    {}
-func (Committed) event() {}
-func (Failed) event()    {}
-func (Sent) event()      {}
-func (Tick) event()      {}
+func (BatchReceived) event() {}
+func (Loaded) event()        {}
+func (Committed) event()     {}
+func (Failed) event()        {}
+func (ReportSent) event()    {}
+func (Tick) event()          {}
 
-// Effect is something that the node has to do.
+// Effect is an action that the caller of Handle has to carry out.
 type Effect interface{ effect() }
 
-// Load has the node read the rows; Loaded or Failed must follow.
+// Load reads the rows; Loaded or Failed must follow.
 type Load struct{}
 
-// Commit has the node write rows where all have the revisions that they name, and remove others; Committed or Failed must follow.
+// Commit writes rows and removes others in one transaction, if all have the given revisions; Committed or Failed must follow.
 type Commit struct {
 	Ledger Ledger
 	Put    []Row
 	Remove []Row
 }
 
-// Written says that the store holds a batch.
+// Written reports that the store holds a batch.
 type Written struct {
 	Origin vaneyoke.VMID
 	Life   vaneyoke.Incarnation
 	Seq    uint64
 }
 
-// Send has the node report a window; Sent must follow.
-type Send struct {
+// SendReport sends the report of a window; ReportSent must follow.
+type SendReport struct {
 	Window Window
 	Counts Counts
 }
 
-// Missed says that requests were counted too late for their window.
+// Missed reports requests that are in no report, because they were counted too late for their window or exceeded a limit.
 type Missed struct {
 	Window   Window
 	Requests int
 }
 
-func (Load) effect()    {}
-func (Commit) effect()  {}
-func (Written) effect() {}
-func (Send) effect()    {}
-func (Missed) effect()  {}
+func (Load) effect()       {}
+func (Commit) effect()     {}
+func (Written) effect()    {}
+func (SendReport) effect() {}
+func (Missed) effect()     {}
--- a/decide/usage/usage_test.go
+++ b/decide/usage/usage_test.go
@@ -11,156 +11,159 @@
 	"github.com/vaneyoke/vaneyoke/decide/usage"
 )
 
-var troubles = map[string]func(w *world){
-	"none": func(*world) {},
-	"answers lost": func(w *world) {
-		w.lost = 0
-		if w.since()%(15*time.Second) > 10*time.Second {
-			w.lost = 0.3
+var scenarios = map[string]func(s *simulation){
+	"none": func(*simulation) {},
+	"answers lost": func(s *simulation) {
+		s.lostAnswers = 0
+		if s.elapsed()%(15*time.Second) > 10*time.Second {
+			s.lostAnswers = 0.3
 		}
 	},
-	"store away by turns": func(w *world) { w.away = w.since()%(20*time.Second) > 17*time.Second },
-	"platform silent":     func(w *world) { w.silent = w.since() < 30*time.Second },
+	"store down periodically": func(s *simulation) { s.storeDown = s.elapsed()%(20*time.Second) > 17*time.Second },
+	"platform down":           func(s *simulation) { s.platformDown = s.elapsed() < 30*time.Second },
 }
 
-// TestEveryRequestIsReportedOnce plays troubles in which no node ends: each window's report has what began in it and no more, in time, however often it was handed on or sent.
+// TestEveryRequestIsReportedOnce runs scenarios in which no node is killed: the report of each window has the requests that began in it and no others, and
+// is in time, however often batches and reports were sent.
 func TestEveryRequestIsReportedOnce(t *testing.T) {
 	for _, nodes := range []int{1, 6, 90, 1043} {
-		for name, trouble := range troubles {
+		for name, scenario := range scenarios {
 			t.Run(fmt.Sprint(nodes, "/", name), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(2) {
-					w := newWorld(t, seed, nodes, faultNone)
-					w.run(60*time.Second, 10, func() { trouble(w) })
-					w.lost, w.away, w.silent = 0, false, false
-					w.run(85*time.Second, 0, nil)
-					must.SliceEmpty(t, w.broken)
-					beyond, lacking, all := w.off()
-					must.EqOp(t, 0, beyond, must.Sprint("seed ", seed))
+					s := newSimulation(t, seed, nodes, mutationNone)
+					s.run(60*time.Second, 10, func() { scenario(s) })
+					s.lostAnswers, s.storeDown, s.platformDown = 0, false, false
+					s.run(85*time.Second, 0, nil)
+					must.SliceEmpty(t, s.violations)
+					excess, missing, all := s.diff()
+					must.EqOp(t, 0, excess, must.Sprint("seed ", seed))
 					if name == "answers lost" {
-						must.LessEq(t, most*float64(all), float64(lacking), must.Sprint("seed ", seed))
+						must.LessEq(t, maxDiff*float64(all), float64(missing), must.Sprint("seed ", seed))
 					} else {
-						must.EqOp(t, 0, lacking, must.Sprint("seed ", seed))
+						must.EqOp(t, 0, missing, must.Sprint("seed ", seed))
 					}
-					for window := usage.At(w.began, length) + 1; w.now.Sub(window.End(length)) > late; window++ {
-						must.MapContainsKey(t, w.reported, window)
-						if name != "platform silent" {
-							must.LessEq(t, late, w.when[window].Sub(window.End(length)), must.Sprint("window ", window))
+					for window := usage.WindowAt(s.startedAt, windowLength) + 1; s.now.Sub(window.End(windowLength)) > deadline; window++ {
+						must.MapContainsKey(t, s.reported, window)
+						if name != "platform down" {
+							must.LessEq(t, deadline, s.reportedAt[window].Sub(window.End(windowLength)), must.Sprint("window ", window))
 						}
 					}
-					must.LessEq(t, 85*3, w.calls)
+					must.LessEq(t, 85*3, s.storeCalls)
 				}
 			})
 		}
 	}
 }
 
-// TestCountsOutliveNodes has nodes end without a word, the root among them, again and again: no window has two reports, and of what nodes counted a small share is missing.
-func TestCountsOutliveNodes(t *testing.T) {
+// TestKilledNodesLoseFewCounts kills nodes repeatedly, the root among them: no window has two different reports, and only a small share of the requests is missing.
+func TestKilledNodesLoseFewCounts(t *testing.T) {
 	for _, nodes := range []int{6, 90} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			t.Parallel()
-			lacks, alls := 0, 0
+			missingSum, allSum := 0, 0
 			for seed := range uint64(6) {
-				w := newWorld(t, seed, nodes, faultNone)
-				w.run(60*time.Second, 10, func() {
-					if w.since()%(7*time.Second) == 0 {
-						w.kill(w.root(), time.Second)
-						w.kill(w.rng.IntN(len(w.nodes)), time.Second)
+				s := newSimulation(t, seed, nodes, mutationNone)
+				s.run(60*time.Second, 10, func() {
+					if s.elapsed()%(7*time.Second) == 0 {
+						s.kill(s.root(), time.Second)
+						s.kill(s.rng.IntN(len(s.nodes)), time.Second)
 					}
 				})
-				w.run(85*time.Second, 0, nil)
-				must.SliceEmpty(t, w.broken, must.Sprint("seed ", seed))
-				beyond, lacking, all := w.off()
-				must.EqOp(t, 0, beyond, must.Sprint("seed ", seed))
-				lacks, alls = lacks+lacking, alls+all
+				s.run(85*time.Second, 0, nil)
+				must.SliceEmpty(t, s.violations, must.Sprint("seed ", seed))
+				excess, missing, all := s.diff()
+				must.EqOp(t, 0, excess, must.Sprint("seed ", seed))
+				missingSum, allSum = missingSum+missing, allSum+all
 			}
-			t.Logf("%d of %d requests are missing", lacks, alls)
-			must.LessEq(t, most*float64(alls), float64(lacks))
+			t.Logf("%d of %d requests are missing", missingSum, allSum)
+			must.LessEq(t, maxDiff*float64(allSum), float64(missingSum))
 		})
 	}
 }
 
-// TestFaultsAreNoticed takes promises out of the nodes. Counts that come late again and again keep windows open for five minutes at the most.
-func TestFaultsAreNoticed(t *testing.T) {
-	play := func(f fault, lossy time.Duration) *world {
-		w := newWorld(t, 1, 6, f)
-		w.run(lossy, 10, func() { w.lost = 0.3 })
-		w.lost = 0
-		w.run(7*time.Minute, 0, nil)
-		return w
+// TestMutationsAreDetected breaks one rule of the nodes at a time. Counts that keep arriving late delay the reports by five minutes at most, so the
+// simulation runs for longer.
+func TestMutationsAreDetected(t *testing.T) {
+	simulate := func(m mutation, lossy time.Duration) *simulation {
+		s := newSimulation(t, 1, 6, m)
+		s.run(lossy, 10, func() { s.lostAnswers = 0.3 })
+		s.lostAnswers = 0
+		s.run(7*time.Minute, 0, nil)
+		return s
 	}
-	beyond, _, _ := play(faultNoMarks, 15*time.Second).off()
-	must.Positive(t, beyond)
-	must.SliceNotEmpty(t, play(faultSendsFresh, time.Minute).broken)
+	excess, _, _ := simulate(mutationNoWatermarks, 15*time.Second).diff()
+	must.Positive(t, excess)
+	must.SliceNotEmpty(t, simulate(mutationSendsUnwritten, time.Minute).violations)
 }
 
-// TestCountsFromBeforeTheLedger has a node count before the root has begun the ledger, and hand that on after it: it is reported.
-func TestCountsFromBeforeTheLedger(t *testing.T) {
-	w := newWorld(t, 1, 2, faultNone)
-	w.nodes[1].dead = w.now.Add(2 * time.Second) // it counts and does not hand on
-	early := usage.At(w.now, length) - 1
-	w.nodes[1].tally.Began(early, "w0")
-	w.run(40*time.Second, 0, nil)
-	must.EqOp(t, 1, w.reported[early]["w0"])
+// TestCountsFromBeforeTheLedgerExists has a node count a request before the root creates the ledger, and send it afterwards: it is reported.
+func TestCountsFromBeforeTheLedgerExists(t *testing.T) {
+	s := newSimulation(t, 1, 2, mutationNone)
+	s.nodes[1].downUntil = s.now.Add(2 * time.Second) // its counts are not sent until then
+	early := usage.WindowAt(s.now, windowLength) - 1
+	s.nodes[1].aggregator.CountRequest(early, "w0")
+	s.run(40*time.Second, 0, nil)
+	must.EqOp(t, 1, s.reported[early]["w0"])
 }
 
-// TestLongOutage has the store be away for a quarter of an hour, or the platform be silent, while hundreds of workspaces send: all is handed on and written in pieces that the store takes, and each
-// window is reported once.
+// TestLongOutage has the store or the platform be down for a quarter of an hour, while 60 workspaces send requests: all counts are sent and written in
+// transactions that the store accepts, and each window is reported once.
 func TestLongOutage(t *testing.T) {
-	for name, outage := range map[string]func(w *world, on bool){
-		"store":    func(w *world, on bool) { w.away = on },
-		"platform": func(w *world, on bool) { w.silent = on },
+	for name, outage := range map[string]func(s *simulation, on bool){
+		"store":    func(s *simulation, on bool) { s.storeDown = on },
+		"platform": func(s *simulation, on bool) { s.platformDown = on },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 1, 6, faultNone)
-			w.tenants = 60
-			w.run(15*time.Minute, 4, func() { outage(w, w.since() > 20*time.Second) })
-			outage(w, false)
-			w.run(20*time.Minute, 0, nil)
-			must.SliceEmpty(t, w.broken)
-			beyond, lacking, all := w.off()
-			must.EqOp(t, 0, beyond)
-			must.EqOp(t, 0, lacking, must.Sprint("of ", all))
-			must.LessEq(t, 20*60*4, w.calls)
+			s := newSimulation(t, 1, 6, mutationNone)
+			s.workspaces = 60
+			s.run(15*time.Minute, 4, func() { outage(s, s.elapsed() > 20*time.Second) })
+			outage(s, false)
+			s.run(20*time.Minute, 0, nil)
+			must.SliceEmpty(t, s.violations)
+			excess, missing, all := s.diff()
+			must.EqOp(t, 0, excess)
+			must.EqOp(t, 0, missing, must.Sprint("of ", all))
+			must.LessEq(t, 20*60*4, s.storeCalls)
 		})
 	}
 }
 
-// TestKeptCountsAreBounded has a node count for eleven hours what nobody takes, of more workspaces than it can keep: it keeps the newest, and says what it let go.
-func TestKeptCountsAreBounded(t *testing.T) {
-	tally := usage.NewTally("vm-0", 1)
-	counted := 0
+// TestBufferedCountsAreBounded has a node count for eleven hours while no other node accepts its counts, of more workspaces than it can buffer: it keeps the
+// newest, and returns how many it dropped.
+func TestBufferedCountsAreBounded(t *testing.T) {
+	aggregator := usage.NewAggregator("vm-0", 1)
+	total := 0
 	for window := range usage.Window(8000) {
-		for w := range 20 {
-			tally.Began(window, vaneyoke.WorkspaceID(fmt.Sprint("w", w)))
-			counted++
+		for i := range 20 {
+			aggregator.CountRequest(window, vaneyoke.WorkspaceID(fmt.Sprint("w", i)))
+			total++
 		}
 	}
-	dropped, _ := tally.Dropped()
-	kept := 0
-	for batches := tally.Offer(); len(batches) > 0; batches = tally.Offer() {
-		kept += sizeOf(batches)
-		must.LessEq(t, handedMost, sizeOf(batches))
-		tally.Taken(batches)
+	dropped, _ := aggregator.Dropped()
+	buffered := 0
+	for batches := aggregator.NextBatches(); len(batches) > 0; batches = aggregator.NextBatches() {
+		buffered += countsIn(batches)
+		must.LessEq(t, maxHandoffCounts, countsIn(batches))
+		aggregator.Acknowledge(batches)
 	}
-	must.EqOp(t, counted, dropped.Requests+kept)
-	must.LessEq(t, 120_000, kept)
+	must.EqOp(t, total, dropped.Requests+buffered)
+	must.LessEq(t, 120_000, buffered)
 	must.Positive(t, dropped.Requests)
 }
 
-// TestUnsoundBatches are what no node of this build hands on.
-func TestUnsoundBatches(t *testing.T) {
-	const here = usage.Window(1000)
+// TestInvalidBatches checks batches that no node of this build sends.
+func TestInvalidBatches(t *testing.T) {
+	const current = usage.Window(1000)
 	for name, b := range map[string]usage.Batch{
 		"no origin":         {Seq: 1},
-		"less than nothing": {Origin: "vm", Seq: 1, Counts: usage.Windows{here: {"w": -1}}},
-		"too many":          {Origin: "vm", Seq: 1, Counts: usage.Windows{here: {"w": 1 << 40}}},
-		"of the future":     {Origin: "vm", Seq: 1, Counts: usage.Windows{here + 1000: {"w": 1}}},
-		"no workspace":      {Origin: "vm", Seq: 1, Counts: usage.Windows{here: {"": 1}}},
+		"negative count":    {Origin: "vm", Seq: 1, Counts: usage.Windows{current: {"w": -1}}},
+		"too many":          {Origin: "vm", Seq: 1, Counts: usage.Windows{current: {"w": 1 << 40}}},
+		"far in the future": {Origin: "vm", Seq: 1, Counts: usage.Windows{current + 1000: {"w": 1}}},
+		"no workspace":      {Origin: "vm", Seq: 1, Counts: usage.Windows{current: {"": 1}}},
 	} {
-		must.False(t, b.Sound(here), must.Sprint(name))
+		must.False(t, b.Valid(current), must.Sprint(name))
 	}
-	must.True(t, (&usage.Batch{Origin: "vm", Seq: 1, Counts: usage.Windows{here: {"w": 1}, here - 500: {"w": 1}}}).Sound(here))
+	must.True(t, (&usage.Batch{Origin: "vm", Seq: 1, Counts: usage.Windows{current: {"w": 1}, current - 500: {"w": 1}}}).Valid(current))
 }
--- a/process/node/duties_wire.go
+++ b/process/node/duties_wire.go
@@ -76,7 +76,7 @@
 func dutyConfig(s settings.Duties) duties.Config {
 	config := duties.Config{
 		Lease: lease.Config{TTL: s.Lease, CallTimeout: s.Lease / dutyWaitShare},
-		Usage: usage.Config{Length: s.Window, Late: s.Late},
+		Usage: usage.Config{WindowLength: s.Window, ReportDeadline: s.Late},
 	}
 	if !s.Fencing {
 		config.Lease.TakeoverDelay = s.Lease
--- a/shell/duties/calls.go
+++ b/shell/duties/calls.go
@@ -25,10 +25,10 @@
 	case usage.Commit:
 		go n.commit(e)
 	case usage.Written:
-		n.stored[e.Origin] = usage.Mark{Life: e.Life, Seq: e.Seq}
+		n.stored[e.Origin] = usage.Watermark{Life: e.Life, Seq: e.Seq}
 		close(n.written)
 		n.written = make(chan struct{})
-	case usage.Send:
+	case usage.SendReport:
 		n.reportLocked(e)
 	case usage.Missed:
 		n.metrics.counts.Add("usage_missed_total", int64(e.Requests))
@@ -70,10 +70,10 @@
 }
 
 // reportLocked sends a window's report, as long as the lease is proven.
-func (n *Node) reportLocked(e usage.Send) {
+func (n *Node) reportLocked(e usage.SendReport) {
 	fence, ok := n.duties[DutyUsage].ActiveToken(steady.Now())
 	if !ok {
-		go n.keep(usage.Sent{Window: e.Window})
+		go n.keep(usage.ReportSent{Window: e.Window})
 		return
 	}
 	n.duties[DutyUsage].under++
@@ -89,12 +89,12 @@
 		}
 		n.log.WithFields(logrus.Fields{
 			"window": int64(e.Window), "workspaces": len(e.Counts), "requests": requests, "fence": uint64(fence),
-			"age_ms": wall.Sub(e.Window.End(n.config.Usage.Length)).Milliseconds(), "outcome": reply.String(), "error": err,
+			"age_ms": wall.Sub(e.Window.End(n.config.Usage.WindowLength)).Milliseconds(), "outcome": reply.String(), "error": err,
 		}).Info("usage_reported")
 		n.mu.Lock()
 		n.called(steady.Now(), DutyUsage, fence, reply, reply == ReplyRefused)
 		n.mu.Unlock()
-		n.keep(usage.Sent{Window: e.Window, Taken: reply == ReplyTaken})
+		n.keep(usage.ReportSent{Window: e.Window, Accepted: reply == ReplyTaken})
 	}()
 }
 
--- a/shell/duties/exchange.go
+++ b/shell/duties/exchange.go
@@ -59,9 +59,9 @@
 		return n.store(ctx, h.Batches)
 	}
 	defer n.mu.Unlock()
-	window := usage.At(n.clock.Wall(steady.Now()), max(n.config.Usage.Length, 1))
+	window := usage.WindowAt(n.clock.Wall(steady.Now()), max(n.config.Usage.WindowLength, 1))
 	for i := range h.Batches {
-		if !n.tally.Take(&h.Batches[i], window) {
+		if !n.tally.Merge(&h.Batches[i], window) {
 			return false
 		}
 	}
@@ -70,9 +70,9 @@
 
 // soundLocked returns the batches that a node of this build may have handed on; others are told of and count as taken, since they come again otherwise.
 func (n *Node) soundLocked(all []usage.Batch) []usage.Batch {
-	here := usage.At(n.clock.Wall(steady.Now()), max(n.config.Usage.Length, 1))
+	here := usage.WindowAt(n.clock.Wall(steady.Now()), max(n.config.Usage.WindowLength, 1))
 	return slices.DeleteFunc(all, func(b usage.Batch) bool {
-		sound := b.Sound(here)
+		sound := b.Valid(here)
 		if !sound {
 			n.metrics.counts.Add("usage_unsound_total", 1)
 			n.log.WithFields(logrus.Fields{"peer": b.Origin, "seq": b.Seq}).Warn("counts_unsound")
@@ -110,7 +110,7 @@
 		return len(batches) == 0
 	}
 	for _, b := range batches {
-		n.book.Handle(steady.Now(), usage.Offered{Batch: b})
+		n.book.Handle(steady.Now(), usage.BatchReceived{Batch: b})
 	}
 	for !n.holdsLocked(batches) {
 		written := n.written
@@ -150,7 +150,7 @@
 // handOnce hands on a batch, and reports whether it was taken and more waits.
 func (n *Node) handOnce(ctx context.Context) (more bool) {
 	n.mu.Lock()
-	h := handed{Batches: n.tally.Offer()}
+	h := handed{Batches: n.tally.NextBatches()}
 	if len(n.ordered) > 0 {
 		h.Loads, h.Told = n.loadsLocked(steady.Now())
 	}
@@ -170,8 +170,8 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tally.Taken(h.Batches)
-	return n.tally.Behind()
+	n.tally.Acknowledge(h.Batches)
+	return n.tally.HasBacklog()
 }
 
 // loadsLocked returns what the node has to tell of loads, and for how long, and begins anew.
--- a/shell/duties/fuzz_test.go
+++ b/shell/duties/fuzz_test.go
@@ -49,7 +49,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.Fuzz(func(_ *testing.T, body []byte) {
-		config := duties.Config{Lease: lease.Config{TTL: time.Second, CallTimeout: time.Second / 4}, Usage: usage.Config{Length: time.Second, Late: 4 * time.Second}}
+		config := duties.Config{Lease: lease.Config{TTL: time.Second, CallTimeout: time.Second / 4}, Usage: usage.Config{WindowLength: time.Second, ReportDeadline: 4 * time.Second}}
 		n := duties.New("vm-0", 1, config, away{}, away{}, away{}, away{}, http.DefaultClient, duties.NewMetrics(new(expvar.Map).Init()), log)
 		n.SetTerms(time.Unix(1000, 0), []capacity.Terms{{Service: "lm", Most: 3, Prices: map[vaneyoke.DataCentreID]float64{"a": 1}}})
 		for range 2 {
--- a/shell/duties/node.go
+++ b/shell/duties/node.go
@@ -99,15 +99,15 @@
 	mu      sync.Mutex
 	duties  map[lease.Name]*duty
 	clock   usage.Clock
-	tally   *usage.Tally
-	book    *usage.Book
+	tally   *usage.Aggregator
+	book    *usage.Reporter
 	plan    *capacity.State
 	ordered map[vaneyoke.ServiceID]bool          // services whose upstreams are ordered
 	loads   map[vaneyoke.ServiceID]capacity.Load // since the last report to the node above
 	told    time.Duration                        // for which other nodes told theirs, which are among them, summed up
 	toldAt  time.Time                            // until when this node has told its own
 	written chan struct{}                        // closed at each batch that the store holds
-	stored  usage.Marks                          // of the batches that the store is known to hold
+	stored  usage.Watermarks                     // of the batches that the store is known to hold
 	leaving bool
 }
 
@@ -127,8 +127,8 @@
 func New(self vaneyoke.VMID, life vaneyoke.Incarnation, config Config, leases Leases, ledger Ledger, platform Platform, tree Tree, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
 	n := &Node{
 		self: self, config: config, leases: leases, ledger: ledger, platform: platform, tree: tree, client: client, metrics: metrics, log: log,
-		duties: map[lease.Name]*duty{}, tally: usage.NewTally(self, life), book: usage.NewBook(config.Usage), plan: capacity.New(),
-		ordered: map[vaneyoke.ServiceID]bool{}, loads: map[vaneyoke.ServiceID]capacity.Load{}, written: make(chan struct{}), stored: usage.Marks{},
+		duties: map[lease.Name]*duty{}, tally: usage.NewAggregator(self, life), book: usage.NewReporter(config.Usage), plan: capacity.New(),
+		ordered: map[vaneyoke.ServiceID]bool{}, loads: map[vaneyoke.ServiceID]capacity.Load{}, written: make(chan struct{}), stored: usage.Watermarks{},
 	}
 	for _, name := range []lease.Name{DutyUsage, DutyCapacity} {
 		n.duties[name] = &duty{State: lease.New(self, life, config.Lease)}
@@ -140,7 +140,7 @@
 }
 
 // reportsUsage reports whether usage is counted.
-func (n *Node) reportsUsage() bool { return n.config.Usage.Length > 0 }
+func (n *Node) reportsUsage() bool { return n.config.Usage.WindowLength > 0 }
 
 // SetTerms takes in the terms on which upstreams are ordered.
 func (n *Node) SetTerms(now time.Time, all []capacity.Terms) {
@@ -167,7 +167,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tally.Began(usage.At(n.clock.Wall(steady.Now()), n.config.Usage.Length), workspace)
+	n.tally.CountRequest(usage.WindowAt(n.clock.Wall(steady.Now()), n.config.Usage.WindowLength), workspace)
 }
 
 // Used takes in what a request took of a service's upstreams.
@@ -217,7 +217,7 @@
 	n.tickLease(now, DutyCapacity, root && len(n.ordered) > 0)
 	if n.reportsUsage() {
 		_, holds := n.duties[DutyUsage].ActiveToken(now)
-		for _, effect := range n.book.Handle(now, usage.Tick{Wall: n.clock.Wall(now), Writes: root, Reports: holds}) {
+		for _, effect := range n.book.Handle(now, usage.Tick{Wall: n.clock.Wall(now), MayWrite: root, MayReport: holds}) {
 			n.keepLocked(effect)
 		}
 	}
