--- a/decide/claim/event.go
+++ b/decide/claim/event.go
@@ -6,42 +6,42 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Event is something that happened to a claim.
+// Event is an input of the state machine.
 type Event interface{ event() }
 
-// Begun says that the caller's request has come; it is the first event.
-type Begun struct{}
+// RequestReceived reports that the caller's request was received; it is the first event.
+type RequestReceived struct{}
 
-// Stored says that the last write took effect.
+// Stored reports that the last write was applied.
 type Stored struct{}
 
-// Raced says that the last write did not take effect because of the row that stands there.
-type Raced struct{ Existing Versioned }
+// Conflict reports that the last write was not applied, because the row has another version; Existing is the current row.
+type Conflict struct{ Existing Versioned }
 
-// StoreFailed says that it is not known whether the last write took effect, or that it did not because the store is down.
+// StoreFailed reports that the last write failed. Unknown is set where it may have been applied; otherwise it was not, because the store is down.
 type StoreFailed struct{ Unknown bool }
 
-// Ran gives the upstream's answer.
-type Ran struct{ Answer Answer }
+// Answered delivers the upstream's answer.
+type Answered struct{ Answer Answer }
 
-// NotRun says that the upstream certainly did not run the request, and will not.
+// NotRun reports that no upstream ran the request, or will run it.
 type NotRun struct{ Code vaneyoke.Code }
 
-// Lost says that the upstream may have run the request.
-type Lost struct{}
+// MayHaveRun reports that the upstream may have run the request.
+type MayHaveRun struct{}
 
-func (Begun) event()       {}
-func (Stored) event()      {}
-func (Raced) event()       {}
-func (StoreFailed) event() {}
-func (Ran) event()         {}
-func (NotRun) event()      {}
-func (Lost) event()        {}
+func (RequestReceived) event() {}
+func (Stored) event()          {}
+func (Conflict) event()        {}
+func (StoreFailed) event()     {}
+func (Answered) event()        {}
+func (NotRun) event()          {}
+func (MayHaveRun) event()      {}
 
-// Effect is something that the shell has to do.
+// Effect is an action that the caller of Handle has to carry out.
 type Effect interface{ effect() }
 
-// Write stores a record where the row has the given version, 0 for no row.
+// Write stores a record if the row has the expected version, 0 for no row.
 type Write struct {
 	Record Record
 	Expect Version
@@ -50,14 +50,14 @@
 // Run sends the request to an upstream, once.
 type Run struct{}
 
-// Reply tells the caller how the request came out.
+// Reply sends the outcome of the request to the caller.
 type Reply struct {
 	Code       vaneyoke.Code
 	Answer     *Answer       // set where Code is CodeOK
-	RetryAfter time.Duration // 0 where coming back does not help
+	RetryAfter time.Duration // 0 where a retry does not help
 }
 
-// Settle has the row revoked in the background if the claim's own write did take effect.
+// Settle revokes the row in the background if the claim's own write was applied after all.
 type Settle struct{ Record Record }
 
 func (Write) effect()  {}
--- a/decide/claim/property_test.go
+++ b/decide/claim/property_test.go
@@ -14,14 +14,14 @@
 	"github.com/vaneyoke/vaneyoke/internal/mutant"
 )
 
-// mutation stands for a rule taken out of the claim: it changes what goes in or comes out.
+// mutation breaks one rule of the claim by changing its events or effects.
 type mutation struct {
 	event  func(claim.Event) claim.Event
 	effect func(claim.Effect) claim.Effect
 }
 
-// ask is one request with the key, at one node.
-type ask struct {
+// request is one of several requests with the same key, each handled by a node.
+type request struct {
 	id      vaneyoke.RequestID
 	state   *claim.State
 	effects []claim.Effect
@@ -30,216 +30,216 @@
 	reply   *claim.Reply
 }
 
-// late is a write that reaches the store after its sender gave it up.
-type late struct {
-	ask   *ask
-	write claim.Write
+// delayedWrite is a write that reaches the store after its sender has stopped waiting for it.
+type delayedWrite struct {
+	request *request
+	write   claim.Write
 }
 
-// world is a store and the nodes that race for one key.
-type world struct {
-	t      *rapid.T
-	now    time.Time
-	row    *claim.Versioned
-	asks   []*ask
-	late   []late
-	settle []claim.Record
-	runs   int
-	mutant mutation
+// simulation is a store and the nodes that compete for one key.
+type simulation struct {
+	t            *rapid.T
+	now          time.Time
+	row          *claim.Versioned
+	requests     []*request
+	delayed      []delayedWrite
+	toSettle     []claim.Record
+	upstreamRuns int
+	mutant       mutation
 }
 
-func (w *world) run() error {
-	for range rapid.IntRange(5, 40).Draw(w.t, "steps") {
-		w.now = w.now.Add(time.Second)
-		if err := w.step(); err != nil {
+func (s *simulation) run() error {
+	for range rapid.IntRange(5, 40).Draw(s.t, "steps") {
+		s.now = s.now.Add(time.Second)
+		if err := s.step(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) step() error {
-	action := rapid.IntRange(0, 9).Draw(w.t, "action")
+func (s *simulation) step() error {
+	action := rapid.IntRange(0, 9).Draw(s.t, "action")
 	switch {
-	case action <= 1 || len(w.asks) == 0:
-		id := vaneyoke.RequestID(fmt.Sprintf("r%d", len(w.asks)))
-		a := &ask{id: id, state: claim.New(claim.Record{Request: id, BodyDigest: "body"})}
-		w.asks = append(w.asks, a)
-		return w.give(a, claim.Begun{})
-	case action == 2 && len(w.late) > 0:
-		l := w.late[0]
-		w.late = w.late[1:]
-		w.store(l.ask.id, l.write)
+	case action <= 1 || len(s.requests) == 0:
+		id := vaneyoke.RequestID(fmt.Sprintf("r%d", len(s.requests)))
+		r := &request{id: id, state: claim.New(claim.Record{Request: id, BodyDigest: "body"})}
+		s.requests = append(s.requests, r)
+		return s.deliver(r, claim.RequestReceived{})
+	case action == 2 && len(s.delayed) > 0:
+		d := s.delayed[0]
+		s.delayed = s.delayed[1:]
+		s.store(d.request.id, d.write)
 		return nil
-	case action == 3 && len(w.settle) > 0:
-		w.revoke()
+	case action == 3 && len(s.toSettle) > 0:
+		s.revoke()
 		return nil
 	}
-	a := w.asks[rapid.IntRange(0, len(w.asks)-1).Draw(w.t, "ask")]
+	r := s.requests[rapid.IntRange(0, len(s.requests)-1).Draw(s.t, "ask")]
 	if action == 4 {
-		a.crashed = true
+		r.crashed = true
 	}
-	if a.crashed || len(a.effects) == 0 {
+	if r.crashed || len(r.effects) == 0 {
 		return nil
 	}
-	effect := a.effects[0]
-	a.effects = a.effects[1:]
-	if w.mutant.effect != nil {
-		effect = w.mutant.effect(effect)
+	effect := r.effects[0]
+	r.effects = r.effects[1:]
+	if s.mutant.effect != nil {
+		effect = s.mutant.effect(effect)
 	}
-	return w.carryOut(a, effect)
+	return s.execute(r, effect)
 }
 
-func (w *world) carryOut(a *ask, effect claim.Effect) error {
+func (s *simulation) execute(r *request, effect claim.Effect) error {
 	switch e := effect.(type) {
 	case claim.Write:
-		return w.give(a, w.send(a, e))
+		return s.deliver(r, s.send(r, e))
 	case claim.Run:
-		return w.runIt(a)
+		return s.runUpstream(r)
 	case claim.Settle:
-		w.settle = append(w.settle, e.Record)
+		s.toSettle = append(s.toSettle, e.Record)
 	case claim.Reply:
-		a.reply = &e
-		return w.checkReply(a)
+		r.reply = &e
+		return s.checkReply(r)
 	}
 	return nil
 }
 
-func (w *world) runIt(a *ask) error {
-	switch rapid.IntRange(0, 2).Draw(w.t, "upstream") {
+func (s *simulation) runUpstream(r *request) error {
+	switch rapid.IntRange(0, 2).Draw(s.t, "upstream") {
 	case 0:
-		return w.give(a, claim.NotRun{Code: vaneyoke.CodeNoUpstream})
+		return s.deliver(r, claim.NotRun{Code: vaneyoke.CodeNoUpstream})
 	case 1:
-		w.runs++
-		a.ran = true
-		if err := w.check(); err != nil {
+		s.upstreamRuns++
+		r.ran = true
+		if err := s.check(); err != nil {
 			return err
 		}
-		return w.give(a, claim.Lost{})
+		return s.deliver(r, claim.MayHaveRun{})
 	default:
-		w.runs++
-		a.ran = true
-		if err := w.check(); err != nil {
+		s.upstreamRuns++
+		r.ran = true
+		if err := s.check(); err != nil {
 			return err
 		}
-		return w.give(a, claim.Ran{Answer: claim.Answer{Body: []byte(a.id)}})
+		return s.deliver(r, claim.Answered{Answer: claim.Answer{Body: []byte(r.id)}})
 	}
 }
 
-func (w *world) give(a *ask, ev claim.Event) error {
-	if w.mutant.event != nil {
-		ev = w.mutant.event(ev)
+func (s *simulation) deliver(r *request, ev claim.Event) error {
+	if s.mutant.event != nil {
+		ev = s.mutant.event(ev)
 	}
-	a.effects = append(a.effects, a.state.Handle(w.now, ev)...)
+	r.effects = append(r.effects, r.state.Handle(s.now, ev)...)
 	return nil
 }
 
-// send brings a write to the store, which may be down, lose the reply, or get the write late.
-func (w *world) send(a *ask, write claim.Write) claim.Event {
-	switch rapid.IntRange(0, 5).Draw(w.t, "store") {
+// send sends a write to the store, which may be down, lose the reply, or receive the write late.
+func (s *simulation) send(r *request, write claim.Write) claim.Event {
+	switch rapid.IntRange(0, 5).Draw(s.t, "store") {
 	case 0:
 		return claim.StoreFailed{}
 	case 1:
-		w.store(a.id, write)
+		s.store(r.id, write)
 		return claim.StoreFailed{Unknown: true}
 	case 2:
-		w.late = append(w.late, late{ask: a, write: write})
+		s.delayed = append(s.delayed, delayedWrite{request: r, write: write})
 		return claim.StoreFailed{Unknown: true}
 	}
-	if w.store(a.id, write) {
+	if s.store(r.id, write) {
 		return claim.Stored{}
 	}
-	return claim.Raced{Existing: *w.row}
+	return claim.Conflict{Existing: *s.row}
 }
 
-func (w *world) store(_ vaneyoke.RequestID, write claim.Write) bool {
+func (s *simulation) store(_ vaneyoke.RequestID, write claim.Write) bool {
 	version := claim.Version(0)
-	if w.row != nil {
-		version = w.row.Version
+	if s.row != nil {
+		version = s.row.Version
 	}
 	if version != write.Expect {
 		return false
 	}
-	w.row = &claim.Versioned{Record: write.Record, Version: version + 1}
+	s.row = &claim.Versioned{Record: write.Record, Version: version + 1}
 	return true
 }
 
-// revoke settles a claim that was given up.
-func (w *world) revoke() {
-	record := w.settle[0]
-	w.settle = w.settle[1:]
-	if w.row != nil && (w.row.Request != record.Request || w.row.Stage != claim.StageClaimed) {
+// revoke settles a claim whose write had an unknown outcome.
+func (s *simulation) revoke() {
+	record := s.toSettle[0]
+	s.toSettle = s.toSettle[1:]
+	if s.row != nil && (s.row.Request != record.Request || s.row.Stage != claim.StageClaimed) {
 		return
 	}
 	record.Stage = claim.StageRevoked
 	record.NotRun = vaneyoke.CodeStoreDown
-	if w.row == nil {
-		w.row = &claim.Versioned{Record: record, Version: 1}
+	if s.row == nil {
+		s.row = &claim.Versioned{Record: record, Version: 1}
 		return
 	}
-	w.row = &claim.Versioned{Record: record, Version: w.row.Version + 1}
+	s.row = &claim.Versioned{Record: record, Version: s.row.Version + 1}
 }
 
-func (w *world) check() error {
-	if w.runs > 1 {
-		return fmt.Errorf("the request ran %d times", w.runs)
+func (s *simulation) check() error {
+	if s.upstreamRuns > 1 {
+		return fmt.Errorf("the request ran %d times", s.upstreamRuns)
 	}
 	return nil
 }
 
-// checkReply holds what a caller is told against what happened under its key.
-func (w *world) checkReply(a *ask) error {
+// checkReply compares the reply to a caller with what happened under its key.
+func (s *simulation) checkReply(r *request) error {
 	switch {
-	case a.reply.Code == vaneyoke.CodeOK && w.runs == 0:
-		return errors.New("told as done and never ran")
-	case a.reply.Code == vaneyoke.CodeOK && a.reply.Answer == nil:
-		return errors.New("told as done without an answer")
-	case a.reply.Code.Info().NotRun && a.reply.Code != vaneyoke.CodeConflict && w.runs > 0:
-		return fmt.Errorf("told %s although the request ran", a.reply.Code)
+	case r.reply.Code == vaneyoke.CodeOK && s.upstreamRuns == 0:
+		return errors.New("the reply is OK although the request never ran")
+	case r.reply.Code == vaneyoke.CodeOK && r.reply.Answer == nil:
+		return errors.New("the reply is OK but has no answer")
+	case r.reply.Code.Info().NotRun && r.reply.Code != vaneyoke.CodeConflict && s.upstreamRuns > 0:
+		return fmt.Errorf("the reply is %s although the request ran", r.reply.Code)
 	}
 	return nil
 }
 
 func TestAtMostOnceInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Unix(1, 0)}
-		if err := w.run(); err != nil {
+		s := &simulation{t: t, now: time.Unix(1, 0)}
+		if err := s.run(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestBrokenClaimRulesAreCaught takes out one rule at a time.
-func TestBrokenClaimRulesAreCaught(t *testing.T) {
-	const stories = 5000
+// TestMutationsAreDetected breaks one rule of the claim at a time, and checks that the simulation detects it.
+func TestMutationsAreDetected(t *testing.T) {
+	const sequences = 5000
 	mutants := map[string]mutation{
-		"an unknown write counts as stored": {event: func(ev claim.Event) claim.Event {
+		"a write of unknown outcome counts as stored": {event: func(ev claim.Event) claim.Event {
 			if failed, ok := ev.(claim.StoreFailed); ok && failed.Unknown {
 				return claim.Stored{}
 			}
 			return ev
 		}},
-		"a lost race counts as stored": {event: func(ev claim.Event) claim.Event {
-			if _, ok := ev.(claim.Raced); ok {
+		"a conflict counts as stored": {event: func(ev claim.Event) claim.Event {
+			if _, ok := ev.(claim.Conflict); ok {
 				return claim.Stored{}
 			}
 			return ev
 		}},
-		"a loss counts as not run": {event: func(ev claim.Event) claim.Event {
-			if _, ok := ev.(claim.Lost); ok {
+		"a request that may have run counts as not run": {event: func(ev claim.Event) claim.Event {
+			if _, ok := ev.(claim.MayHaveRun); ok {
 				return claim.NotRun{Code: vaneyoke.CodeNoUpstream}
 			}
 			return ev
 		}},
-		"claims by others count as revoked": {event: func(ev claim.Event) claim.Event {
-			if raced, ok := ev.(claim.Raced); ok {
-				raced.Existing.Stage = claim.StageRevoked
-				raced.Existing.NotRun = vaneyoke.CodeNoUpstream
-				return raced
+		"claims of other requests count as revoked": {event: func(ev claim.Event) claim.Event {
+			if conflict, ok := ev.(claim.Conflict); ok {
+				conflict.Existing.Stage = claim.StageRevoked
+				conflict.Existing.NotRun = vaneyoke.CodeNoUpstream
+				return conflict
 			}
 			return ev
 		}},
-		"an outage is told as not run": {effect: func(ef claim.Effect) claim.Effect {
+		"an outage is reported as not run": {effect: func(ef claim.Effect) claim.Effect {
 			if reply, ok := ef.(claim.Reply); ok && reply.Code == vaneyoke.CodeClaimUnknown {
 				reply.Code = vaneyoke.CodeStoreDown
 				return reply
@@ -249,8 +249,8 @@
 	}
 	for name, rule := range mutants {
 		t.Run(name, func(t *testing.T) {
-			must.True(t, mutant.Caught(stories, func(t *rapid.T) bool {
-				return (&world{t: t, now: time.Unix(1, 0), mutant: rule}).run() != nil
+			must.True(t, mutant.Caught(sequences, func(t *rapid.T) bool {
+				return (&simulation{t: t, now: time.Unix(1, 0), mutant: rule}).run() != nil
 			}))
 		})
 	}
--- a/decide/claim/record.go
+++ b/decide/claim/record.go
@@ -6,14 +6,14 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Stage is how far a claimed request has come.
+// Stage is the state of a claimed request, as stored.
 type Stage string
 
-// The stages of a claim as the table keeps them.
+// The stages of a claim.
 const (
 	StageClaimed Stage = "claimed" // it may have been sent to an upstream
-	StageDone    Stage = "done"    // it ran and its answer is kept
-	StageRevoked Stage = "revoked" // it was not run, and never will be under this key
+	StageDone    Stage = "done"    // it ran and its answer is stored
+	StageRevoked Stage = "revoked" // it did not run, and will never run under this key
 )
 
 // Answer is the upstream's answer to a request that ran.
@@ -23,7 +23,7 @@
 	Body      []byte `json:"body"`
 }
 
-// Record is the row of a claim.
+// Record is the stored state of a claim.
 type Record struct {
 	Stage      Stage              `json:"stage"`
 	Owner      vaneyoke.NodeID    `json:"owner"`
@@ -31,10 +31,10 @@
 	BodyDigest string             `json:"body_digest"`
 	ClaimedAt  time.Time          `json:"claimed_at"`
 	Answer     *Answer            `json:"answer,omitempty"`
-	NotRun     vaneyoke.Code      `json:"not_run,omitempty"` // why a revoked request was not run
+	NotRun     vaneyoke.Code      `json:"not_run,omitempty"` // why a revoked request did not run
 }
 
-// Version counts the writes of a record's row from 1; 0 stands for no row.
+// Version counts the writes to a record's row from 1; 0 stands for no row.
 type Version uint64
 
 // Versioned is a record with the version of its row.
--- a/decide/claim/state.go
+++ b/decide/claim/state.go
@@ -6,10 +6,10 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// retryAfter is when a caller should ask again for a request that may still be running.
+// retryAfter is the delay after which a caller should retry a request that may still be running.
 const retryAfter = time.Second
 
-// phase is what a claim waits for.
+// phase is the step that a claim is in.
 type phase int
 
 const (
@@ -18,55 +18,55 @@
 	phaseRunning
 	phaseRevoking
 	phaseSaving
-	phaseOver
+	phaseDone
 )
 
 // State is the claim of one request by one node.
 type State struct {
-	own     Record
-	phase   phase
-	version Version       // of the row once the claim stands
-	failure vaneyoke.Code // why the request was not run
-	effects []Effect
+	record     Record
+	phase      phase
+	version    Version       // of the row once the claim is stored
+	notRunCode vaneyoke.Code // why the request did not run
+	effects    []Effect
 }
 
-// New returns a claim that waits for Begun; own is the record to be stored, in the stage StageClaimed.
-func New(own Record) *State {
-	own.Stage = StageClaimed
-	return &State{own: own}
+// New returns a claim that waits for RequestReceived; record is to be stored in the stage StageClaimed.
+func New(record Record) *State {
+	record.Stage = StageClaimed
+	return &State{record: record}
 }
 
-// Handle takes in an event and returns what has to be done.
+// Handle processes an event and returns the effects to carry out.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = nil
 	switch ev := ev.(type) {
-	case Begun:
-		s.begun(now)
+	case RequestReceived:
+		s.received(now)
 	case Stored:
 		s.stored()
-	case Raced:
-		s.raced(ev.Existing)
+	case Conflict:
+		s.conflict(ev.Existing)
 	case StoreFailed:
 		s.storeFailed(ev.Unknown)
-	case Ran:
-		s.ran(ev.Answer)
+	case Answered:
+		s.answered(ev.Answer)
 	case NotRun:
 		s.notRun(ev.Code)
-	case Lost:
-		s.lost()
+	case MayHaveRun:
+		s.mayHaveRun()
 	}
 	return s.effects
 }
 
-func (s *State) do(e Effect) { s.effects = append(s.effects, e) }
+func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-func (s *State) begun(now time.Time) {
+func (s *State) received(now time.Time) {
 	if s.phase != phaseNew {
 		return
 	}
 	s.phase = phaseClaiming
-	s.own.ClaimedAt = now
-	s.do(Write{Record: s.own})
+	s.record.ClaimedAt = now
+	s.emit(Write{Record: s.record})
 	s.version = 1
 }
 
@@ -74,99 +74,99 @@
 	switch s.phase {
 	case phaseClaiming:
 		s.phase = phaseRunning
-		s.do(Run{})
+		s.emit(Run{})
 	case phaseRevoking:
-		s.over(Reply{Code: s.failure})
+		s.finish(Reply{Code: s.notRunCode})
 	case phaseSaving:
-		s.phase = phaseOver
+		s.phase = phaseDone
 	default:
 	}
 }
 
-// raced looks at the row that stands where the claim was to be.
-func (s *State) raced(existing Versioned) {
+// conflict handles a write that failed because the row has another version.
+func (s *State) conflict(existing Versioned) {
 	switch s.phase {
 	case phaseClaiming:
-		s.claimRaced(existing)
+		s.claimConflict(existing)
 	case phaseRevoking:
-		s.over(Reply{Code: s.failure})
+		s.finish(Reply{Code: s.notRunCode})
 	case phaseSaving:
-		s.phase = phaseOver
+		s.phase = phaseDone
 	default:
 	}
 }
 
-func (s *State) claimRaced(existing Versioned) {
+func (s *State) claimConflict(existing Versioned) {
 	switch {
-	case existing.Request == s.own.Request && existing.Stage == StageClaimed:
+	case existing.Request == s.record.Request && existing.Stage == StageClaimed:
 		s.version = existing.Version
 		s.stored()
-	case existing.BodyDigest != s.own.BodyDigest:
-		s.over(Reply{Code: vaneyoke.CodeConflict})
+	case existing.BodyDigest != s.record.BodyDigest:
+		s.finish(Reply{Code: vaneyoke.CodeConflict})
 	case existing.Stage == StageDone:
-		s.over(Reply{Code: vaneyoke.CodeOK, Answer: existing.Answer})
+		s.finish(Reply{Code: vaneyoke.CodeOK, Answer: existing.Answer})
 	case existing.Stage == StageRevoked:
-		s.over(Reply{Code: existing.NotRun})
+		s.finish(Reply{Code: existing.NotRun})
 	default:
-		s.over(Reply{Code: vaneyoke.CodeMayHaveRun, RetryAfter: retryAfter})
+		s.finish(Reply{Code: vaneyoke.CodeMayHaveRun, RetryAfter: retryAfter})
 	}
 }
 
-// storeFailed refuses a request whose claim does not stand for certain.
-// This node will not run it, but an earlier request with the same key may have run, so the caller is not told that it did not.
+// storeFailed refuses a request whose claim is not certain to be stored. This node will not run it, but an earlier request with the same key may have
+// run, so the reply does not say that it did not run.
 func (s *State) storeFailed(unknown bool) {
 	switch s.phase {
 	case phaseClaiming:
-		s.refuse(unknown)
+		s.refuseUnknown(unknown)
 	case phaseRevoking:
-		s.do(Settle{Record: s.own})
-		s.over(Reply{Code: s.failure})
+		s.emit(Settle{Record: s.record})
+		s.finish(Reply{Code: s.notRunCode})
 	case phaseSaving:
-		s.phase = phaseOver
+		s.phase = phaseDone
 	default:
 	}
 }
 
-func (s *State) refuse(settle bool) {
+func (s *State) refuseUnknown(settle bool) {
 	if settle {
-		s.do(Settle{Record: s.own})
+		s.emit(Settle{Record: s.record})
 	}
-	s.over(Reply{Code: vaneyoke.CodeClaimUnknown, RetryAfter: retryAfter})
+	s.finish(Reply{Code: vaneyoke.CodeClaimUnknown, RetryAfter: retryAfter})
 }
 
-// ran gives the answer to the caller at once, and has it kept for those who ask again.
-func (s *State) ran(answer Answer) {
+// answered replies to the caller at once, and then stores the answer for retries with the same key.
+func (s *State) answered(answer Answer) {
 	if s.phase != phaseRunning {
 		return
 	}
 	s.phase = phaseSaving
-	s.do(Reply{Code: vaneyoke.CodeOK, Answer: &answer})
-	done := s.own
+	s.emit(Reply{Code: vaneyoke.CodeOK, Answer: &answer})
+	done := s.record
 	done.Stage = StageDone
 	done.Answer = &answer
-	s.do(Write{Record: done, Expect: s.version})
+	s.emit(Write{Record: done, Expect: s.version})
 }
 
-// notRun revokes the claim for good: who is told "not run" can rely on it, and asks with a new key to have it run.
+// notRun revokes the claim permanently: a caller can rely on the reply that the request did not run, and needs a new key to have it run.
 func (s *State) notRun(code vaneyoke.Code) {
 	if s.phase != phaseRunning {
 		return
 	}
 	s.phase = phaseRevoking
-	s.failure = code
-	revoked := s.own
+	s.notRunCode = code
+	revoked := s.record
 	revoked.Stage = StageRevoked
 	revoked.NotRun = code
-	s.do(Write{Record: revoked, Expect: s.version})
+	s.emit(Write{Record: revoked, Expect: s.version})
 }
 
-func (s *State) lost() {
+func (s *State) mayHaveRun() {
 	if s.phase == phaseRunning {
-		s.over(Reply{Code: vaneyoke.CodeMayHaveRun})
+		s.finish(Reply{Code: vaneyoke.CodeMayHaveRun})
 	}
 }
 
-func (s *State) over(reply Reply) {
-	s.phase = phaseOver
-	s.do(reply)
+func (s *State) finish(reply Reply) {
+	s.phase = phaseDone
+	s.emit(reply)
 }
--- a/shell/claims/worker.go
+++ b/shell/claims/worker.go
@@ -19,7 +19,7 @@
 
 // work drives the claim until the caller can be told something; the answer is kept in the background.
 func (w *worker) work(ctx context.Context) claim.Reply {
-	effects := w.state.Handle(time.Now(), claim.Begun{})
+	effects := w.state.Handle(time.Now(), claim.RequestReceived{})
 	for len(effects) > 0 {
 		effect := effects[0]
 		effects = effects[1:]
@@ -80,16 +80,16 @@
 	if err != nil {
 		return claim.StoreFailed{}
 	}
-	return claim.Raced{Existing: existing}
+	return claim.Conflict{Existing: existing}
 }
 
 func (w *worker) outcome(ctx context.Context) claim.Event {
 	out := w.run(ctx)
 	switch {
 	case out.Answer != nil:
-		return claim.Ran{Answer: *out.Answer}
+		return claim.Answered{Answer: *out.Answer}
 	case out.Lost:
-		return claim.Lost{}
+		return claim.MayHaveRun{}
 	default:
 		return claim.NotRun{Code: out.NotRun}
 	}
