--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -125,9 +125,9 @@
 	return s
 }
 
-// TestOneHolderAtATime runs each scenario with 1 to 1,043 nodes. No token has two senders, no holder acts again within a TTL in which another node acted,
-// a platform that checks no tokens receives no call with a lower token, some node acts again after the failures, and the number of calls to the store is
-// bounded whatever the number of nodes.
+// TestOneHolderAtATime runs each scenario with 1 to 1,043 nodes. No token has two senders, no holder acts again within a TTL of its last call if another node
+// acted in between, a platform that checks no tokens receives no call with a lower token, some node acts again after the failures, and the number of calls
+// to the store is bounded whatever the number of nodes.
 func TestOneHolderAtATime(t *testing.T) {
 	for _, nodes := range []int{1, 2, 6, 90, 1043} {
 		for name, scenario := range scenarios {
--- a/decide/usage/usage_test.go
+++ b/decide/usage/usage_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestKilledNodesLoseFewCounts kills nodes repeatedly, the root among them: no window has two different reports, and only a small share of the requests is missing.
+// TestKilledNodesLoseFewCounts kills nodes repeatedly, the root among them: no window has two different reports, and only a small share of the
+// requests is missing.
 func TestKilledNodesLoseFewCounts(t *testing.T) {
 	for _, nodes := range []int{6, 90} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
