--- a/shell/duties/calls.go
+++ b/shell/duties/calls.go
@@ -25,10 +25,10 @@
 	case usage.Commit:
 		go n.commit(e)
 	case usage.Written:
-		n.stored[e.Origin] = usage.Mark{Life: e.Life, Seq: e.Seq}
+		n.stored[e.Origin] = usage.Watermark{Life: e.Life, Seq: e.Seq}
 		close(n.written)
 		n.written = make(chan struct{})
-	case usage.Send:
+	case usage.SendReport:
 		n.reportLocked(e)
 	case usage.Missed:
 		n.metrics.counts.Add("usage_missed_total", int64(e.Requests))
@@ -70,16 +70,16 @@
 }
 
 // reportLocked sends a window's report, as long as the lease is proven.
-func (n *Node) reportLocked(e usage.Send) {
-	fence, ok := n.duties[DutyUsage].Holds(steady.Now())
+func (n *Node) reportLocked(e usage.SendReport) {
+	fence, ok := n.duties[DutyUsage].ActiveToken(steady.Now())
 	if !ok {
-		go n.keep(usage.Sent{Window: e.Window})
+		go n.keep(usage.ReportSent{Window: e.Window})
 		return
 	}
 	n.duties[DutyUsage].under++
 	wall := n.clock.Wall(steady.Now())
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.Wait)
+		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.CallTimeout)
 		defer cancel()
 		reply, err := n.platform.Report(ctx, fence, e.Window, e.Counts)
 		n.metrics.counts.Add("usage_reports_total", 1)
@@ -89,25 +89,25 @@
 		}
 		n.log.WithFields(logrus.Fields{
 			"window": int64(e.Window), "workspaces": len(e.Counts), "requests": requests, "fence": uint64(fence),
-			"age_ms": wall.Sub(e.Window.End(n.config.Usage.Length)).Milliseconds(), "outcome": reply.String(), "error": err,
+			"age_ms": wall.Sub(e.Window.End(n.config.Usage.WindowLength)).Milliseconds(), "outcome": reply.String(), "error": err,
 		}).Info("usage_reported")
 		n.mu.Lock()
 		n.called(steady.Now(), DutyUsage, fence, reply, reply == ReplyRefused)
 		n.mu.Unlock()
-		n.keep(usage.Sent{Window: e.Window, Taken: reply == ReplyTaken})
+		n.keep(usage.ReportSent{Window: e.Window, Accepted: reply == ReplyTaken})
 	}()
 }
 
 // orderLocked sends an order, as long as the lease is proven.
 func (n *Node) orderLocked(now time.Time, order capacity.Order) {
-	fence, ok := n.duties[DutyCapacity].Holds(now)
+	fence, ok := n.duties[DutyCapacity].ActiveToken(now)
 	if !ok {
 		n.plan.Handle(now, capacity.OrderResult{Order: order, Outcome: capacity.OutcomeUnknown})
 		return
 	}
 	n.duties[DutyCapacity].under++
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.Wait)
+		ctx, cancel := context.WithTimeout(context.Background(), n.config.Lease.CallTimeout)
 		defer cancel()
 		reply, err := n.platform.Order(ctx, fence, order)
 		n.metrics.counts.Add("orders_total", 1)
