--- a/decide/cursor/cursor.go
+++ b/decide/cursor/cursor.go
@@ -30,13 +30,13 @@
 	Digest    uint64        // of those bytes
 	TailFrom  vaneyoke.Tokens
 	TailIDs   []vaneyoke.TokenID // tokens that the backup had not confirmed
-	TailAt    int                // offset of the tail's text
+	TailTextFrom    int                // offset of the tail's text
 	TailText  []byte
 	Stream    uint64 // digest of the name of the engine's stream that gave the last token, 0 where there is none
 }
 
-// Digest returns the digest of the text that a caller holds.
-func Digest(text []byte) uint64 { return xxhash.Sum64(text) }
+// TextDigest returns the digest of the text that a caller holds.
+func TextDigest(text []byte) uint64 { return xxhash.Sum64(text) }
 
 // StreamDigest returns the digest of an engine's stream, 0 for none.
 func StreamDigest(name string) uint64 {
@@ -79,7 +79,7 @@
 	for _, id := range c.TailIDs {
 		buf = binary.AppendUvarint(buf, uint64(uint32(id)))
 	}
-	buf = binary.AppendUvarint(buf, uint64(c.TailAt))
+	buf = binary.AppendUvarint(buf, uint64(c.TailTextFrom))
 	buf = appendText(buf, string(c.TailText))
 	buf = binary.LittleEndian.AppendUint64(buf, c.Stream)
 	buf = appendMAC(buf, k.macs[0], buf)
@@ -162,7 +162,7 @@
 	for range count {
 		c.TailIDs = append(c.TailIDs, vaneyoke.TokenID(uint32(r.number())))
 	}
-	c.TailAt = r.number()
+	c.TailTextFrom = r.number()
 	c.TailText = []byte(r.text())
 	c.Stream = r.digest()
 	return c
--- a/decide/cursor/cursor_test.go
+++ b/decide/cursor/cursor_test.go
@@ -12,7 +12,7 @@
 func full() cursor.Cursor {
 	return cursor.Cursor{
 		Workspace: "weavers", Request: "r-1", Owner: "vm-1", Backup: "vm-2", Offset: 70, Digest: 1 << 63,
-		TailFrom: 9, TailIDs: []vaneyoke.TokenID{1, 1 << 30}, TailAt: 60, TailText: []byte("é tail"), Stream: 5,
+		TailFrom: 9, TailIDs: []vaneyoke.TokenID{1, 1 << 30}, TailTextFrom: 60, TailText: []byte("é tail"), Stream: 5,
 	}
 }
 
--- a/decide/generation/event.go
+++ b/decide/generation/event.go
@@ -37,7 +37,7 @@
 // RunReported answers QueryRun.
 type RunReported struct {
 	Attempt  vaneyoke.Attempt
-	State    vaneyoke.Work
+	State    vaneyoke.RunState
 	Produced vaneyoke.Tokens // chunks of the answer that the upstream has produced; 0 if it does not say
 }
 
--- a/decide/generation/opaque_property_test.go
+++ b/decide/generation/opaque_property_test.go
@@ -187,7 +187,7 @@
 			"asked": func(t *rapid.T) {
 				if attempt, ok := m.drawAttempt(); ok {
 					m.handle(generation.RunReported{
-						Attempt: attempt, State: vaneyoke.Work(rapid.IntRange(0, 3).Draw(t, "work")), Produced: vaneyoke.Tokens(rapid.IntRange(0, 9).Draw(t, "made")),
+						Attempt: attempt, State: vaneyoke.RunState(rapid.IntRange(0, 3).Draw(t, "work")), Produced: vaneyoke.Tokens(rapid.IntRange(0, 9).Draw(t, "made")),
 					})
 				}
 			},
--- a/decide/generation/opaque_test.go
+++ b/decide/generation/opaque_test.go
@@ -181,7 +181,7 @@
 		o.now = o.state.NextTick()
 		must.EqOp(t, time.Duration(n+1)*patience, o.now.Sub(sent))
 		must.EqOp(t, "e1", find[generation.QueryRun](t, o.handle(generation.Tick{})).Upstream)
-		must.Len(t, 0, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkRunning}))
+		must.Len(t, 0, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateRunning}))
 	}
 	o.now = o.state.NextTick()
 	must.EqOp(t, 3*patience, o.now.Sub(sent))
@@ -190,16 +190,16 @@
 	o = start()
 	o.now = o.state.NextTick()
 	find[generation.QueryRun](t, o.handle(generation.Tick{}))
-	effects := o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkUnknown})
+	effects := o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateUnknown})
 	must.EqOp(t, generation.CauseSilent, find[generation.Cancel](t, effects).Cause)
 	must.True(t, has[generation.Place](effects))
 
 	o = start()
-	must.Len(t, 0, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkUnknown})) // without a query
+	must.Len(t, 0, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateUnknown})) // without a query
 	o.now = o.state.NextTick()
 	find[generation.QueryRun](t, o.handle(generation.Tick{}))
 	o.chunk(0)
-	must.Len(t, 0, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkUnknown}))
+	must.Len(t, 0, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateUnknown}))
 }
 
 func TestLateProbeDoesNotEndStreamingRun(t *testing.T) {
@@ -361,7 +361,7 @@
 			effects := o.silentFor(700 * time.Millisecond)
 			must.True(t, has[generation.QueryRun](effects))
 			must.False(t, has[generation.Cancel](effects))
-			o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkRunning})
+			o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateRunning})
 		}
 		o.chunk(4)
 		must.EqOp(t, 5, o.state.Transcript().Len())
@@ -369,7 +369,7 @@
 	t.Run("engine does not work on it", func(t *testing.T) {
 		o := begin(t)
 		o.silentFor(700 * time.Millisecond)
-		lost := o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkUnknown})
+		lost := o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateUnknown})
 		o.place(lost, "e3", "")
 		o.chunk(4)
 		must.False(t, has[generation.Cancel](o.silentFor(5*time.Second)))
@@ -381,6 +381,6 @@
 		o := begin(t)
 		o.silentFor(700 * time.Millisecond)
 		o.chunk(4)
-		must.SliceEmpty(t, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkUnknown}))
+		must.SliceEmpty(t, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateUnknown}))
 	})
 }
--- a/decide/generation/query.go
+++ b/decide/generation/query.go
@@ -48,15 +48,15 @@
 // keepWaiting reports whether to keep waiting for a silent run, given its upstream's report.
 func (s *State) keepWaiting(now time.Time, r *run, ev RunReported) bool {
 	if r.gaps.count == 0 {
-		return ev.State >= vaneyoke.WorkQueued
+		return ev.State >= vaneyoke.RunStateQueued
 	}
 	silent := now.Sub(r.gaps.last)
 	switch ev.State {
-	case vaneyoke.WorkUnknown:
+	case vaneyoke.RunStateUnknown:
 		return false
-	case vaneyoke.WorkNone: // conclusive only once the report must be newer than the last chunk
+	case vaneyoke.RunStateNone: // conclusive only once the report must be newer than the last chunk
 		return silent < s.cfg.EventIntervalGoal
-	case vaneyoke.WorkQueued: // likewise; the run may have been requeued there and need a second prefill
+	case vaneyoke.RunStateQueued: // likewise; the run may have been requeued there and need a second prefill
 		return silent < s.cfg.EventIntervalGoal || (r.replica == "" && silent < s.stallLimit(r))
 	default:
 		return s.withinStallLimit(silent, r, ev)
--- a/decide/generation/query_test.go
+++ b/decide/generation/query_test.go
@@ -35,27 +35,27 @@
 // nor, depending on the reports, too early or too late.
 func TestSilentStreamIsQueriedBeforeItIsGivenUp(t *testing.T) {
 	type report struct {
-		state    vaneyoke.Work
+		state    vaneyoke.RunState
 		produced vaneyoke.Tokens
 	}
-	running := report{vaneyoke.WorkRunning, 2}
+	running := report{vaneyoke.RunStateRunning, 2}
 	cases := map[string]struct {
 		replica    vaneyoke.UpstreamID
 		reports    []report      // in order, the last one for all further queries
 		maxSilence time.Duration // the run is given up within this silence
 		minSilence time.Duration // and not before this one
 	}{
-		"no report":                        {"e2", []report{{vaneyoke.WorkUnknown, 0}}, eventIntervalGoal / 2, 0},
-		"no report, no replica":            {"", []report{{vaneyoke.WorkUnknown, 0}}, eventIntervalGoal / 2, 0},
-		"one report, then none":            {"e2", []report{running, {vaneyoke.WorkUnknown, 0}}, eventIntervalGoal, 0},
+		"no report":                        {"e2", []report{{vaneyoke.RunStateUnknown, 0}}, eventIntervalGoal / 2, 0},
+		"no report, no replica":            {"", []report{{vaneyoke.RunStateUnknown, 0}}, eventIntervalGoal / 2, 0},
+		"one report, then none":            {"e2", []report{running, {vaneyoke.RunStateUnknown, 0}}, eventIntervalGoal, 0},
 		"running, with a replica":          {"e2", []report{running}, 3 * eventIntervalGoal, 2 * eventIntervalGoal},
 		"running, without a replica":       {"", []report{running}, stallLimitNoReplica + eventIntervalGoal, stallLimitNoReplica},
-		"report older than the last chunk": {"", []report{{vaneyoke.WorkRunning, 1}}, stallLimitNoReplica + eventIntervalGoal, stallLimitNoReplica},
-		"run unknown to the upstream":      {"", []report{{vaneyoke.WorkNone, 0}}, 2 * eventIntervalGoal, eventIntervalGoal},
-		"run requeued, with a replica":     {"e2", []report{{vaneyoke.WorkQueued, 0}}, 2 * eventIntervalGoal, eventIntervalGoal},
-		"run requeued, no replica":         {"", []report{{vaneyoke.WorkQueued, 0}}, stallLimitNoReplica + eventIntervalGoal, stallLimitNoReplica},
-		"chunks in flight":                 {"e2", []report{{vaneyoke.WorkRunning, 3}, running}, 3 * eventIntervalGoal, 2 * eventIntervalGoal},
-		"chunks lost in a dead connection": {"e2", []report{{vaneyoke.WorkRunning, 3}, {vaneyoke.WorkRunning, 9}}, eventIntervalGoal, 0},
+		"report older than the last chunk": {"", []report{{vaneyoke.RunStateRunning, 1}}, stallLimitNoReplica + eventIntervalGoal, stallLimitNoReplica},
+		"run unknown to the upstream":      {"", []report{{vaneyoke.RunStateNone, 0}}, 2 * eventIntervalGoal, eventIntervalGoal},
+		"run requeued, with a replica":     {"e2", []report{{vaneyoke.RunStateQueued, 0}}, 2 * eventIntervalGoal, eventIntervalGoal},
+		"run requeued, no replica":         {"", []report{{vaneyoke.RunStateQueued, 0}}, stallLimitNoReplica + eventIntervalGoal, stallLimitNoReplica},
+		"chunks in flight":                 {"e2", []report{{vaneyoke.RunStateRunning, 3}, running}, 3 * eventIntervalGoal, 2 * eventIntervalGoal},
+		"chunks lost in a dead connection": {"e2", []report{{vaneyoke.RunStateRunning, 3}, {vaneyoke.RunStateRunning, 9}}, eventIntervalGoal, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -84,12 +84,12 @@
 	o := newSilentStream(t, "e2")
 	o.now = o.state.NextTick()
 	find[generation.QueryRun](t, o.handle(generation.Tick{}))
-	o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkRunning, Produced: 3})
+	o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateRunning, Produced: 3})
 	o.chunk(2)
-	must.SliceEmpty(t, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkUnknown}))
+	must.SliceEmpty(t, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateUnknown}))
 	o.now = o.state.NextTick()
 	find[generation.QueryRun](t, o.handle(generation.Tick{}))
-	must.SliceEmpty(t, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkRunning, Produced: 4})) // the first report of this kind since the chunk
+	must.SliceEmpty(t, o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateRunning, Produced: 4})) // the first report of this kind since the chunk
 }
 
 // TestSteadySlowStreamIsNotQueried sends chunks at an even interval beyond the initial silence limit: once the mean gap has adapted, no
@@ -104,7 +104,7 @@
 		for o.state.NextTick().Before(end) {
 			o.now = o.state.NextTick()
 			find[generation.QueryRun](t, o.handle(generation.Tick{}))
-			o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.WorkRunning, Produced: vaneyoke.Tokens(n + 2)})
+			o.handle(generation.RunReported{Attempt: o.last, State: vaneyoke.RunStateRunning, Produced: vaneyoke.Tokens(n + 2)})
 			if n > warmUp {
 				queries++
 			}
--- a/decide/generation/retry_storm_test.go
+++ b/decide/generation/retry_storm_test.go
@@ -82,10 +82,10 @@
 func (f *fleet) report(s *fleetAnswer, e generation.QueryRun) generation.RunReported {
 	for _, r := range f.engines[int(e.Upstream[0]-'a')] {
 		if r.stream == s && r.attempt == e.Attempt && f.now.Sub(r.startedAt) > reportAge {
-			return generation.RunReported{Attempt: e.Attempt, State: vaneyoke.WorkRunning, Produced: r.next}
+			return generation.RunReported{Attempt: e.Attempt, State: vaneyoke.RunStateRunning, Produced: r.next}
 		}
 	}
-	return generation.RunReported{Attempt: e.Attempt, State: vaneyoke.WorkNone}
+	return generation.RunReported{Attempt: e.Attempt, State: vaneyoke.RunStateNone}
 }
 
 func (f *fleet) removeRun(s *fleetAnswer, attempt vaneyoke.Attempt) {
--- a/decide/journal/store.go
+++ b/decide/journal/store.go
@@ -9,16 +9,16 @@
 
 // Config bounds what a store keeps.
 type Config struct {
-	Bytes     int           // estimated memory of all records
+	MaxBytes     int           // estimated memory of all records
 	Retention time.Duration // how long a record is kept after its last change
 }
 
-// PushState says what became of a delta.
-type PushState int
+// PushOutcome says what became of a delta.
+type PushOutcome int
 
 // The outcomes of a push.
 const (
-	PushKept       PushState = iota + 1
+	PushAccepted       PushOutcome = iota + 1
 	PushGap                  // what came before is lacking; the whole session has to be sent
 	PushSuperseded           // another node owns the session now
 )
@@ -76,7 +76,7 @@
 }
 
 // Push adds a delta to the session's record.
-func (s *Store) Push(now time.Time, d Delta) PushState {
+func (s *Store) Push(now time.Time, d Delta) PushOutcome {
 	s.expire(now)
 	if d.Key == (Key{}) {
 		return s.pushKnown(now, d)
@@ -102,7 +102,7 @@
 }
 
 // pushKnown adds a delta that names its session by a handle.
-func (s *Store) pushKnown(now time.Time, d Delta) PushState {
+func (s *Store) pushKnown(now time.Time, d Delta) PushOutcome {
 	key, ok := s.handles[d.Handle]
 	if !ok {
 		return PushGap
@@ -120,7 +120,7 @@
 }
 
 // extend adds a delta to a record whose owner sent it.
-func (s *Store) extend(now time.Time, r *record, d Delta) PushState {
+func (s *Store) extend(now time.Time, r *record, d Delta) PushOutcome {
 	if d.From > vaneyoke.Tokens(len(r.IDs)) || d.TextFrom > len(r.Text) {
 		return PushGap
 	}
@@ -129,16 +129,16 @@
 	s.used += r.size()
 	s.touch(now, d.Key)
 	s.shrink()
-	return PushKept
+	return PushAccepted
 }
 
-func (s *Store) pushNew(now time.Time, d Delta) PushState {
+func (s *Store) pushNew(now time.Time, d Delta) PushOutcome {
 	if d.From > 0 || d.TextFrom > 0 {
 		return PushGap
 	}
 	s.handles[d.Handle] = d.Key
 	s.add(now, &record{Delta: d, pushed: true})
-	return PushKept
+	return PushAccepted
 }
 
 // extend takes in what the record does not hold yet; a delta that came before changes nothing.
@@ -250,7 +250,7 @@
 // shrink gives up finished records first, oldest first, and then running ones, until the memory suffices.
 func (s *Store) shrink() {
 	for _, finished := range []bool{true, false} {
-		for e := s.order.Front(); e != nil && s.used > s.config.Bytes; {
+		for e := s.order.Front(); e != nil && s.used > s.config.MaxBytes; {
 			next := e.Next()
 			if r := recordOf(e); (r.Result != nil) == finished {
 				s.remove(r.Key)
--- a/decide/journal/store_test.go
+++ b/decide/journal/store_test.go
@@ -37,15 +37,15 @@
 	return d
 }
 
-func takeOver(owner vaneyoke.NodeID) func(*journal.Store) journal.PushState {
-	return func(s *journal.Store) journal.PushState {
+func takeOver(owner vaneyoke.NodeID) func(*journal.Store) journal.PushOutcome {
+	return func(s *journal.Store) journal.PushOutcome {
 		s.TakeOver(now, key, owner)
-		return journal.PushKept
+		return journal.PushAccepted
 	}
 }
 
-func push(d journal.Delta) func(*journal.Store) journal.PushState {
-	return func(s *journal.Store) journal.PushState { return s.Push(now, d) }
+func push(d journal.Delta) func(*journal.Store) journal.PushOutcome {
+	return func(s *journal.Store) journal.PushOutcome { return s.Push(now, d) }
 }
 
 func TestPush(t *testing.T) {
@@ -54,29 +54,29 @@
 	moved := part(nodeA, 2, "c")
 	moved.Stream = &journal.Stream{Name: "s2"}
 	cases := map[string]struct {
-		steps  []func(*journal.Store) journal.PushState
-		last   journal.PushState
+		steps  []func(*journal.Store) journal.PushOutcome
+		last   journal.PushOutcome
 		text   string
 		stream string
 		owner  vaneyoke.NodeID
 	}{
-		"parts":                {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), push(part(nodeA, 2, "c"))}, journal.PushKept, "abc", "s1", nodeA},
-		"part comes twice":     {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), push(part(nodeA, 2, "c")), push(part(nodeA, 2, "c"))}, journal.PushKept, "abc", "s1", nodeA},
-		"parts overlap":        {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), push(part(nodeA, 1, "bcd"))}, journal.PushKept, "abcd", "s1", nodeA},
-		"part is missing":      {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), push(part(nodeA, 3, "d"))}, journal.PushGap, "ab", "s1", nodeA},
-		"handle is unknown":    {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), push(part(nodeB, 2, "c"))}, journal.PushGap, "ab", "s1", nodeA},
-		"stream changes":       {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), push(moved)}, journal.PushKept, "abc", "s2", nodeA},
-		"owner was superseded": {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), takeOver(nodeB), push(part(nodeA, 2, "c"))}, journal.PushSuperseded, "ab", "s1", nodeB},
-		"old owner sends all":  {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), takeOver(nodeB), push(whole(nodeA, 1, "abc"))}, journal.PushSuperseded, "ab", "s1", nodeB},
-		"new owner goes on":    {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), takeOver(nodeB), push(whole(nodeB, 2, "abx"))}, journal.PushKept, "abx", "s1", nodeB},
-		"later epoch replaces": {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "abc")), push(whole(nodeB, 3, "ay"))}, journal.PushKept, "ay", "s1", nodeB},
-		"owner takes ids back": {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "abc")), push(whole(nodeA, 1, "ab")), push(part(nodeA, 2, "x"))}, journal.PushKept, "abx", "s1", nodeA},
-		"finished stays owned": {[]func(*journal.Store) journal.PushState{push(whole(nodeA, 1, "ab")), push(done), takeOver(nodeB)}, journal.PushKept, "abc", "s1", nodeA},
+		"parts":                {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), push(part(nodeA, 2, "c"))}, journal.PushAccepted, "abc", "s1", nodeA},
+		"part comes twice":     {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), push(part(nodeA, 2, "c")), push(part(nodeA, 2, "c"))}, journal.PushAccepted, "abc", "s1", nodeA},
+		"parts overlap":        {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), push(part(nodeA, 1, "bcd"))}, journal.PushAccepted, "abcd", "s1", nodeA},
+		"part is missing":      {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), push(part(nodeA, 3, "d"))}, journal.PushGap, "ab", "s1", nodeA},
+		"handle is unknown":    {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), push(part(nodeB, 2, "c"))}, journal.PushGap, "ab", "s1", nodeA},
+		"stream changes":       {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), push(moved)}, journal.PushAccepted, "abc", "s2", nodeA},
+		"owner was superseded": {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), takeOver(nodeB), push(part(nodeA, 2, "c"))}, journal.PushSuperseded, "ab", "s1", nodeB},
+		"old owner sends all":  {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), takeOver(nodeB), push(whole(nodeA, 1, "abc"))}, journal.PushSuperseded, "ab", "s1", nodeB},
+		"new owner goes on":    {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), takeOver(nodeB), push(whole(nodeB, 2, "abx"))}, journal.PushAccepted, "abx", "s1", nodeB},
+		"later epoch replaces": {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "abc")), push(whole(nodeB, 3, "ay"))}, journal.PushAccepted, "ay", "s1", nodeB},
+		"owner takes ids back": {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "abc")), push(whole(nodeA, 1, "ab")), push(part(nodeA, 2, "x"))}, journal.PushAccepted, "abx", "s1", nodeA},
+		"finished stays owned": {[]func(*journal.Store) journal.PushOutcome{push(whole(nodeA, 1, "ab")), push(done), takeOver(nodeB)}, journal.PushAccepted, "abc", "s1", nodeA},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := journal.New(journal.Config{Bytes: 1 << 20, Retention: time.Hour})
-			var last journal.PushState
+			s := journal.New(journal.Config{MaxBytes: 1 << 20, Retention: time.Hour})
+			var last journal.PushOutcome
 			for _, step := range tc.steps {
 				last = step(s)
 			}
@@ -92,7 +92,7 @@
 }
 
 func TestOpenTellsWhoOwnsAKey(t *testing.T) {
-	s := journal.New(journal.Config{Bytes: 1 << 20, Retention: time.Minute})
+	s := journal.New(journal.Config{MaxBytes: 1 << 20, Retention: time.Minute})
 	_, found := s.Open(now, key, entry(nodeA, 1))
 	must.False(t, found)
 	_, held := s.Get(now, key)
@@ -120,7 +120,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := journal.New(journal.Config{Bytes: 1 << 20, Retention: time.Minute})
+			s := journal.New(journal.Config{MaxBytes: 1 << 20, Retention: time.Minute})
 			s.Open(now, key, tc.first)
 			_, found := s.Open(now, key, tc.next)
 			must.EqOp(t, tc.found, found)
@@ -129,9 +129,9 @@
 		})
 	}
 	t.Run("a session taken over by another way is pushed over it", func(t *testing.T) {
-		s := journal.New(journal.Config{Bytes: 1 << 20, Retention: time.Minute})
+		s := journal.New(journal.Config{MaxBytes: 1 << 20, Retention: time.Minute})
 		s.Open(now, key, journal.Entry{Request: "x", Owner: nodeB, Epoch: 1})
-		must.EqOp(t, journal.PushKept, s.Push(now, whole(nodeB, 2, "ab")))
+		must.EqOp(t, journal.PushAccepted, s.Push(now, whole(nodeB, 2, "ab")))
 		d, _ := s.Get(now, key)
 		must.EqOp(t, "r", string(d.Entry.Request))
 	})
@@ -139,7 +139,7 @@
 
 func TestMemoryIsBounded(t *testing.T) {
 	const bytes = 100_000
-	s := journal.New(journal.Config{Bytes: bytes, Retention: time.Hour})
+	s := journal.New(journal.Config{MaxBytes: bytes, Retention: time.Hour})
 	for i := range 400 {
 		d := whole(nodeA, 1, string(make([]byte, 500)))
 		d.Key.Key = time.Duration(i).String()
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -55,9 +55,9 @@
 	return v.peers[i], true
 }
 
-// Homes returns the nodes that know who owns a session: one in each of two data centres, or as many as there are.
+// DirectoryPeers returns the nodes that know who owns a session: one in each of two data centres, or as many as there are.
 // Every node with the same view gives the same answer, and a change of the view moves few sessions.
-func (v *View) Homes(key string) []Peer {
+func (v *View) DirectoryPeers(key string) []Peer {
 	ranked := slices.Clone(v.dataCentres)
 	slices.SortFunc(ranked, func(a, b vaneyoke.DataCentreID) int { return byScore(key, string(a), string(b)) })
 	var found []Peer
--- a/decide/membership/view_test.go
+++ b/decide/membership/view_test.go
@@ -31,7 +31,7 @@
 			list := peers(tc.nodes, tc.dataCentres)
 			view := membership.NewView(list)
 			for i := range 50 {
-				homes := view.Homes(fmt.Sprint("key", i))
+				homes := view.DirectoryPeers(fmt.Sprint("key", i))
 				must.SliceLen(t, tc.homes, homes)
 				if tc.homes == 2 {
 					must.NotEqOp(t, homes[0].VM, homes[1].VM)
@@ -59,7 +59,7 @@
 	before, after := membership.NewView(list), membership.NewView(list[1:])
 	moved := 0
 	for i := range keys {
-		a, b := before.Homes(fmt.Sprint(i)), after.Homes(fmt.Sprint(i))
+		a, b := before.DirectoryPeers(fmt.Sprint(i)), after.DirectoryPeers(fmt.Sprint(i))
 		if a[0] != b[0] || a[1] != b[1] {
 			moved++
 		}
--- a/decide/openai/fuzz_test.go
+++ b/decide/openai/fuzz_test.go
@@ -19,7 +19,7 @@
 				continue
 			}
 			must.GreaterEq(t, 0, req.MaxTokens)
-			run, err := json.Marshal(openai.WholeRun(&req).Fields)
+			run, err := json.Marshal(openai.NonStreamRequest(&req).Fields)
 			must.NoError(t, err)
 			must.True(t, json.Valid(run))
 		}
--- a/decide/openai/run.go
+++ b/decide/openai/run.go
@@ -9,8 +9,8 @@
 	PathModels      = "/v1/models"
 )
 
-// Run is the body of one attempt and the path that it goes to.
-type Run struct {
+// EngineRequest is the body of one attempt and the path that it goes to.
+type EngineRequest struct {
 	Path   string
 	Fields vaneyoke.Fields
 }
@@ -24,8 +24,8 @@
 	"continue_final_message", "tools", "tool_choice", "response_format", "documents",
 }
 
-// StreamRun returns the attempt that gives the answer from index given on; prefix is empty for the first token on.
-func StreamRun(req *vaneyoke.Request, prefix []vaneyoke.TokenID, given vaneyoke.Tokens) Run {
+// StreamRequest returns the attempt that gives the answer from index given on; prefix is empty for the first token on.
+func StreamRequest(req *vaneyoke.Request, prefix []vaneyoke.TokenID, given vaneyoke.Tokens) EngineRequest {
 	fields := req.Fields.Clone()
 	for _, name := range notForEngine {
 		delete(fields, name)
@@ -37,12 +37,12 @@
 		setLimit(fields, req.MaxTokens-given)
 	}
 	if len(prefix) == 0 {
-		return Run{Path: path(req.Endpoint), Fields: fields}
+		return EngineRequest{Path: path(req.Endpoint), Fields: fields}
 	}
 	return continued(req, fields, prefix, given)
 }
 
-func continued(req *vaneyoke.Request, fields vaneyoke.Fields, prefix []vaneyoke.TokenID, given vaneyoke.Tokens) Run {
+func continued(req *vaneyoke.Request, fields vaneyoke.Fields, prefix []vaneyoke.TokenID, given vaneyoke.Tokens) EngineRequest {
 	for _, name := range chatOnly {
 		delete(fields, name)
 	}
@@ -51,7 +51,7 @@
 	if req.MinTokens > 0 {
 		fields.Set("min_tokens", max(req.MinTokens-given, 0))
 	}
-	return Run{Path: PathCompletions, Fields: fields}
+	return EngineRequest{Path: PathCompletions, Fields: fields}
 }
 
 // setPriority tells the engine the priority that a policy gave.
@@ -67,14 +67,14 @@
 	fields.Set("max_tokens", limit)
 }
 
-// WholeRun returns the attempt that gives the whole answer in one body.
-func WholeRun(req *vaneyoke.Request) Run {
+// NonStreamRequest returns the attempt that gives the whole answer in one body.
+func NonStreamRequest(req *vaneyoke.Request) EngineRequest {
 	fields := req.Fields.Clone()
 	delete(fields, "stream_options")
 	delete(fields, "priority")
 	fields.Set("stream", false)
 	setPriority(fields, req)
-	return Run{Path: path(req.Endpoint), Fields: fields}
+	return EngineRequest{Path: path(req.Endpoint), Fields: fields}
 }
 
 func path(endpoint vaneyoke.Endpoint) string {
--- a/decide/openai/whole.go
+++ b/decide/openai/whole.go
@@ -33,8 +33,8 @@
 	FinishReason vaneyoke.FinishReason `json:"finish_reason"`
 }
 
-// Whole is an answer that is not streamed.
-type Whole struct {
+// Response is an answer that is not streamed.
+type Response struct {
 	ID      string           `json:"id"`
 	Object  string           `json:"object"`
 	Created int64            `json:"created"`
@@ -43,9 +43,9 @@
 	Usage   Usage            `json:"usage"`
 }
 
-// NewWhole returns the answer to req in one body.
-func NewWhole(req *vaneyoke.Request, created time.Time, text string, reason vaneyoke.FinishReason, usage vaneyoke.Usage) Whole {
-	whole := Whole{ID: AnswerID(req), Created: created.Unix(), Model: req.Model, Usage: usageOf(usage)}
+// NewResponse returns the answer to req in one body.
+func NewResponse(req *vaneyoke.Request, created time.Time, text string, reason vaneyoke.FinishReason, usage vaneyoke.Usage) Response {
+	whole := Response{ID: AnswerID(req), Created: created.Unix(), Model: req.Model, Usage: usageOf(usage)}
 	choice := Choice{FinishReason: reason}
 	if req.Endpoint == vaneyoke.EndpointChat {
 		whole.Object = "chat.completion"
--- a/decide/placement/affinity.go
+++ b/decide/placement/affinity.go
@@ -43,7 +43,7 @@
 // limit are left out, because queries would count against it.
 func (s *State) AffinityUpstreams(now time.Time, need Need) []vaneyoke.Upstream {
 	return lo.FilterMap(topByHash(need.Affinity, s.candidates(now, need), affinityUpstreams), func(e *entry, _ int) (vaneyoke.Upstream, bool) {
-		return e.upstream, !e.limit.Named
+		return e.upstream, !e.limit.Declared
 	})
 }
 
@@ -57,7 +57,7 @@
 	sample := make([]vaneyoke.Upstream, 0, spilloverUpstreams)
 	seen := 0
 	for _, e := range candidates { // reservoir sampling: each one that qualifies has the same chance
-		if e.hasFreshReport(now) || e.limit.Named {
+		if e.hasFreshReport(now) || e.limit.Declared {
 			continue
 		}
 		seen++
@@ -79,7 +79,7 @@
 	}
 	return lo.MinBy(reporting, func(a, b *entry) bool {
 		return cmp.Or(
-			cmp.Compare(a.queuedPrompts(), b.queuedPrompts()), cmp.Compare(a.report.Used, b.report.Used), cmp.Compare(a.runs(now), b.runs(now)),
+			cmp.Compare(a.queuedPrompts(), b.queuedPrompts()), cmp.Compare(a.report.KVInUse, b.report.KVInUse), cmp.Compare(a.runs(now), b.runs(now)),
 		) < 0
 	})
 }
@@ -102,26 +102,26 @@
 // hasRoom reports whether the upstream's memory has room for a prompt besides its queued ones, which are taken to be as long, and for the growth
 // of runs. It is true if there is no fresh report of its memory, and if it is idle.
 func (e *entry) hasRoom(now time.Time, need Need) bool {
-	if !e.hasFreshReport(now) || e.report.Size == 0 || (e.report.Used == 0 && e.queuedPrompts() == 0) {
+	if !e.hasFreshReport(now) || e.report.KVSize == 0 || (e.report.KVInUse == 0 && e.queuedPrompts() == 0) {
 		return true
 	}
-	wanted := int(e.report.Used) + (e.queuedPrompts()+1)*need.PromptBytes
-	return float64(wanted) <= maxMemoryShare*float64(e.report.Size)
+	wanted := int(e.report.KVInUse) + (e.queuedPrompts()+1)*need.PromptBytes
+	return float64(wanted) <= maxMemoryShare*float64(e.report.KVSize)
 }
 
 // queuedPrompts returns how many prompts the upstream has yet to read.
-func (e *entry) queuedPrompts() int { return max(e.report.Prompts, e.awaitingFirstToken) }
+func (e *entry) queuedPrompts() int { return max(e.report.PendingPrompts, e.awaitingFirstToken) }
 
 // PromptHolders returns the upstreams that may have a prompt in memory, because its affinity selects them.
 func (s *State) PromptHolders(now time.Time, need Need) []vaneyoke.Upstream {
 	candidates := lo.Filter(s.sorted, func(e *entry, _ int) bool {
-		return e.takesWork(now) && offers(&e.upstream, need) && s.matchesSplit(need, e, false) && !e.limit.Named
+		return e.takesWork(now) && offers(&e.upstream, need) && s.matchesSplit(need, e, false) && !e.limit.Declared
 	})
 	return lo.Map(topByHash(need.Affinity, candidates, promptHolders), func(e *entry, _ int) vaneyoke.Upstream { return e.upstream })
 }
 
 // Reported records a load report of an upstream.
-func (s *State) Reported(now time.Time, id vaneyoke.UpstreamID, report vaneyoke.Report) {
+func (s *State) Reported(now time.Time, id vaneyoke.UpstreamID, report vaneyoke.LoadReport) {
 	e, ok := s.entries[id]
 	if !ok || (report.Incarnation != 0 && report.Incarnation < e.upstream.Incarnation) { // of an earlier incarnation
 		return
@@ -148,7 +148,7 @@
 
 // reportsQueue reports whether a fresh report shows queued prompts.
 func (e *entry) reportsQueue(now time.Time) bool {
-	return e.report.Prompts > 0 && e.hasFreshReport(now)
+	return e.report.PendingPrompts > 0 && e.hasFreshReport(now)
 }
 
 // ranked is a candidate and its rendezvous hash.
--- a/decide/placement/affinity_test.go
+++ b/decide/placement/affinity_test.go
@@ -188,10 +188,10 @@
 	must.Len(t, 4, upstreams)
 	must.EqOp(t, upstreams[0].ID, pick(s, now)) // no reports yet
 	for i, upstream := range upstreams {
-		s.Reported(now, upstream.ID, vaneyoke.Report{Runs: 5 - i})
+		s.Reported(now, upstream.ID, vaneyoke.LoadReport{Runs: 5 - i})
 	}
 	must.EqOp(t, upstreams[3].ID, pick(s, now))
-	s.Reported(now, upstreams[3].ID, vaneyoke.Report{Prompts: 1, Runs: 1})
+	s.Reported(now, upstreams[3].ID, vaneyoke.LoadReport{PendingPrompts: 1, Runs: 1})
 	must.EqOp(t, upstreams[2].ID, pick(s, now)) // the other one is reading a prompt
 	for range 4 {
 		s.Sent(now, upstreams[2].ID)
--- a/decide/placement/limited.go
+++ b/decide/placement/limited.go
@@ -9,7 +9,7 @@
 // SetLimit sets the rate limit that an upstream declares, or removes it if there is none any more.
 func (s *State) SetLimit(id vaneyoke.UpstreamID, limit vaneyoke.Limit) {
 	delete(s.limits, id)
-	if limit.Named {
+	if limit.Declared {
 		s.limits[id] = limit
 	}
 	e, ok := s.entries[id]
@@ -17,7 +17,7 @@
 		return
 	}
 	e.limit = limit
-	if !limit.Named {
+	if !limit.Declared {
 		e.limitedUntil, e.lastRetryAt = time.Time{}, time.Time{}
 	}
 }
@@ -35,7 +35,7 @@
 func (s *State) LimitRetryAfter(now time.Time, need Need) (after time.Duration, ok bool) {
 	var earliest *entry
 	for _, e := range s.sorted {
-		if e.limit.Named && now.Before(e.limitedUntil) && e.upstream.State == vaneyoke.StateLive && offers(&e.upstream, need) && (earliest == nil || e.lastRetryAt.Before(earliest.lastRetryAt)) {
+		if e.limit.Declared && now.Before(e.limitedUntil) && e.upstream.State == vaneyoke.StateLive && offers(&e.upstream, need) && (earliest == nil || e.lastRetryAt.Before(earliest.lastRetryAt)) {
 			earliest = e
 		}
 	}
--- a/decide/placement/limited_test.go
+++ b/decide/placement/limited_test.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-var limit = vaneyoke.Limit{Named: true, Rate: 2}
+var limit = vaneyoke.Limit{Declared: true, Rate: 2}
 
 // TestUpstreamsAtTheirLimitGetNothing has two of three upstreams reach their rate limits: requests go to the third. When that is at its limit, too,
 // callers get retry-after times that follow one another.
--- a/decide/placement/load.go
+++ b/decide/placement/load.go
@@ -29,7 +29,7 @@
 func (s *State) Loads(now time.Time) []Load {
 	return lo.Map(s.sorted, func(e *entry, _ int) Load {
 		return Load{
-			Upstream: e.upstream, InFlight: e.inFlight, BreakerOpen: e.breaker.IsOpen(), Drained: e.drained, Limited: e.limit.Named,
+			Upstream: e.upstream, InFlight: e.inFlight, BreakerOpen: e.breaker.IsOpen(), Drained: e.drained, Limited: e.limit.Declared,
 			Held: e.hold.Active(now, &e.upstream), Outcomes: e.outcomes,
 		}
 	})
--- a/decide/placement/memory_test.go
+++ b/decide/placement/memory_test.go
@@ -83,7 +83,7 @@
 		}
 		report := e.reports[max(len(e.reports)-int(reportDelay/outageTick), 0)]
 		if c.hidesMemory {
-			report.Size = 0
+			report.KVSize = 0
 		}
 		s.Reported(now, u.ID, report)
 	}
@@ -143,16 +143,16 @@
 // TestHasRoom has an upstream report its memory and checks whether it has room for a prompt of 1,000 tokens.
 func TestHasRoom(t *testing.T) {
 	for name, tc := range map[string]struct {
-		report vaneyoke.Report
+		report vaneyoke.LoadReport
 		want   bool
 	}{
-		"memory not given":           {vaneyoke.Report{Prompts: 9, Runs: 9}, true},
-		"room":                       {vaneyoke.Report{Used: 2400, Size: 4000}, true},
-		"full":                       {vaneyoke.Report{Used: 2500, Size: 4000}, false},
-		"full with queued prompt":    {vaneyoke.Report{Used: 1500, Prompts: 1, Size: 4000}, false},
-		"idle, just large enough":    {vaneyoke.Report{Size: 1100}, true},
-		"busy, just large enough":    {vaneyoke.Report{Used: 10, Size: 1100}, false},
-		"reading, just large enough": {vaneyoke.Report{Prompts: 1, Size: 1100}, false},
+		"memory not given":           {vaneyoke.LoadReport{PendingPrompts: 9, Runs: 9}, true},
+		"room":                       {vaneyoke.LoadReport{KVInUse: 2400, KVSize: 4000}, true},
+		"full":                       {vaneyoke.LoadReport{KVInUse: 2500, KVSize: 4000}, false},
+		"full with queued prompt":    {vaneyoke.LoadReport{KVInUse: 1500, PendingPrompts: 1, KVSize: 4000}, false},
+		"idle, just large enough":    {vaneyoke.LoadReport{KVSize: 1100}, true},
+		"busy, just large enough":    {vaneyoke.LoadReport{KVInUse: 10, KVSize: 1100}, false},
+		"reading, just large enough": {vaneyoke.LoadReport{PendingPrompts: 1, KVSize: 1100}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now, wanted := time.Unix(1000, 0), need
--- a/decide/placement/outage_sim_test.go
+++ b/decide/placement/outage_sim_test.go
@@ -43,7 +43,7 @@
 	runs       []*outageRun
 	replicas   map[*outageRun]bool
 	prefilled  int // tokens already read of the first prompt in the queue
-	reports    []vaneyoke.Report
+	reports    []vaneyoke.LoadReport
 }
 
 type outageRun struct {
@@ -92,7 +92,7 @@
 		sim.admit()
 		for _, e := range sim.engines {
 			sim.advance(e)
-			e.reports = append(e.reports, vaneyoke.Report{Prompts: len(e.queue), Runs: len(e.queue) + len(e.runs), Used: vaneyoke.Tokens(e.memory()), Size: outageMemory})
+			e.reports = append(e.reports, vaneyoke.LoadReport{PendingPrompts: len(e.queue), Runs: len(e.queue) + len(e.runs), KVInUse: vaneyoke.Tokens(e.memory()), KVSize: outageMemory})
 		}
 	}
 	return float64(sim.inTime) / float64(sim.requests)
--- a/decide/placement/pick.go
+++ b/decide/placement/pick.go
@@ -64,7 +64,7 @@
 	s.scratch = s.scratch[:0]
 	for _, e := range s.sorted {
 		if !e.isEligible(now) || (!t.ignoreBreaker && !e.breakerAllows(now, need)) || !offers(&e.upstream, need) || !selector.Matches(&e.upstream) ||
-			!s.matchesSplit(need, e, t.fallbackVersion) || (need.Unlimited && e.limit.Named) {
+			!s.matchesSplit(need, e, t.fallbackVersion) || (need.Unlimited && e.limit.Declared) {
 			continue
 		}
 		if slices.Contains(need.Avoid, e.upstream.ID) == t.avoided {
--- a/decide/placement/pushback_sim_test.go
+++ b/decide/placement/pushback_sim_test.go
@@ -224,7 +224,7 @@
 		wanted.Affinity, wanted.Replicate = fmt.Sprint("p", sim.rng.IntN(50)), true
 		for _, u := range append(n.state.AffinityUpstreams(sim.now, wanted), n.state.SpilloverUpstreams(sim.now, sim.rng, wanted)...) {
 			sim.receive(n, u, sim.now)
-			n.state.Reported(sim.now, u.ID, vaneyoke.Report{})
+			n.state.Reported(sim.now, u.ID, vaneyoke.LoadReport{})
 		}
 	}
 	sim.requests++
--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -37,7 +37,7 @@
 			s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")})
 		},
 		"it declares a limit":                 func(s *placement.State) { s.SetLimit("u0", limit) },
-		"it sends a load report":              func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Prompts: 1}) },
+		"it sends a load report":              func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{PendingPrompts: 1}) },
 		"a request in flight is rejected too": func(s *placement.State) { s.Ended(now, "u0", placement.OutcomeDropped, false) },
 	}
 	for name, event := range events {
@@ -104,7 +104,7 @@
 	restarted.Incarnation = 6
 	restarts := map[string]func(s *placement.State){
 		"listed with the new incarnation":     func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
-		"reported by the upstream":            func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Incarnation: 6}) },
+		"reported by the upstream":            func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{Incarnation: 6}) },
 		"listed again after its entry lapsed": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
 	}
 	for name, restart := range restarts {
--- a/decide/placement/replica.go
+++ b/decide/placement/replica.go
@@ -15,7 +15,7 @@
 		s.scratch = s.scratch[:0]
 		for _, e := range s.sorted {
 			isAllowed := e.upstream.ID != primary.ID && (e.upstream.DataCentre != primary.DataCentre) == remote
-			if isAllowed && !e.limit.Named && e.takesWork(now) && offers(&e.upstream, need) && s.mayReplicateTo(&e.upstream, &primary) {
+			if isAllowed && !e.limit.Declared && e.takesWork(now) && offers(&e.upstream, need) && s.mayReplicateTo(&e.upstream, &primary) {
 				s.scratch = append(s.scratch, e)
 			}
 		}
--- a/decide/placement/restart_test.go
+++ b/decide/placement/restart_test.go
@@ -35,7 +35,7 @@
 	}
 	restarts := map[string]func(s *placement.State){
 		"listed with the new incarnation": func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
-		"reported by the upstream":        func(s *placement.State) { s.Reported(now, "u", vaneyoke.Report{Incarnation: 6}) },
+		"reported by the upstream":        func(s *placement.State) { s.Reported(now, "u", vaneyoke.LoadReport{Incarnation: 6}) },
 	}
 	for name, fail := range failures {
 		for how, restart := range restarts {
@@ -59,8 +59,8 @@
 	u := vaneyoke.Upstream{ID: "u", Kind: need.Kind, Service: "lm", State: vaneyoke.StateLive, URL: "http://x", Incarnation: 5}
 	s := placement.New("a", retry.DefaultBreakerConfig())
 	s.SetUpstreams([]vaneyoke.Upstream{u})
-	s.Reported(now, "u", vaneyoke.Report{Incarnation: 6})
-	s.Reported(now, "u", vaneyoke.Report{Incarnation: 5, Prompts: 9}) // arrives late
+	s.Reported(now, "u", vaneyoke.LoadReport{Incarnation: 6})
+	s.Reported(now, "u", vaneyoke.LoadReport{Incarnation: 5, PendingPrompts: 9}) // arrives late
 	prompt := need
 	prompt.Affinity = "p"
 	must.SliceEmpty(t, s.SpilloverUpstreams(now, rng(), prompt))
--- a/decide/placement/scarce_engines_test.go
+++ b/decide/placement/scarce_engines_test.go
@@ -27,7 +27,7 @@
 	id        vaneyoke.UpstreamID
 	readUntil time.Time   // when it will have read all queued prompts
 	queue     []time.Time // when each prompt will have been read
-	reports   []vaneyoke.Report
+	reports   []vaneyoke.LoadReport
 }
 
 const (
@@ -71,7 +71,7 @@
 		f.now = f.now.Add(tick)
 		for _, e := range f.engines {
 			e.queue = slices.DeleteFunc(e.queue, func(at time.Time) bool { return !at.After(f.now) })
-			e.reports = append(e.reports, vaneyoke.Report{Prompts: len(e.queue), Runs: len(e.queue)})
+			e.reports = append(e.reports, vaneyoke.LoadReport{PendingPrompts: len(e.queue), Runs: len(e.queue)})
 		}
 		if f.rng.Float64() >= rate*tick.Seconds() {
 			continue
--- a/decide/placement/state.go
+++ b/decide/placement/state.go
@@ -67,7 +67,7 @@
 	firstToken         estimate
 	declines           declines
 	drained            bool
-	report             vaneyoke.Report // its latest load report
+	report             vaneyoke.LoadReport // its latest load report
 	reportedAt         time.Time
 	replaced           bool      // whether a newer upstream is listed at its address
 	goneUntil          time.Time // until when it gets no work because another upstream answered at its address
@@ -176,7 +176,7 @@
 // resetAfterRestart drops the state of an upstream's earlier incarnation, except this node's attempts in flight, which end on their own.
 func (s *State) resetAfterRestart(e *entry) {
 	e.breaker = retry.NewBreaker(s.breaker)
-	e.firstToken, e.declines, e.report, e.replicaBytes = estimate{}, declines{}, vaneyoke.Report{}, 0
+	e.firstToken, e.declines, e.report, e.replicaBytes = estimate{}, declines{}, vaneyoke.LoadReport{}, 0
 	e.replaced, e.goneUntil, e.reportedAt = false, time.Time{}, time.Time{}
 	e.limit, e.limitedUntil, e.lastRetryAt = vaneyoke.Limit{}, time.Time{}, time.Time{}
 }
--- a/decide/ratelimit/acquire.go
+++ b/decide/ratelimit/acquire.go
@@ -30,7 +30,7 @@
 // acquire tries to get a permit: a spare one, one from this node's own bucket if it is an owner, or one from the other owners in turn.
 func (s *State) acquire(now time.Time, ev AcquirePermit) {
 	e := s.limits[ev.Upstream]
-	if e == nil || !e.limit.Named || e.useSpare(now) {
+	if e == nil || !e.limit.Declared || e.useSpare(now) {
 		s.emit(PermitDecided{ID: ev.ID, Granted: true})
 		return
 	}
@@ -84,7 +84,7 @@
 // tryNext asks the next candidate. If none is left and no response is pending, the permit is denied.
 func (s *State) tryNext(now time.Time, a *acquisition) {
 	e := s.limits[a.upstream]
-	if !e.limit.Named { // the limit has ended meanwhile
+	if !e.limit.Declared { // the limit has ended meanwhile
 		s.finish(a, PermitDecided{ID: a.id, Granted: true})
 		return
 	}
--- a/decide/ratelimit/fleet_test.go
+++ b/decide/ratelimit/fleet_test.go
@@ -53,7 +53,7 @@
 		if c.at.After(to) || (i+1 < len(u.limits) && !u.limits[i+1].at.After(from)) {
 			continue
 		}
-		if !c.limit.Named {
+		if !c.limit.Declared {
 			return 0, false
 		}
 		rate = max(rate, float64(c.limit.Rate))
@@ -251,7 +251,7 @@
 			t.Logf("%s: %s received at most %d requests in %s, %.1f below the allowed number; final utilization %.2f", desc, u.id, received, window, -excess, utilization)
 		}
 		must.LessEq(t, 0, excess, must.Sprint(desc, " ", u.id))
-		if u.limit().Named {
+		if u.limit().Declared {
 			must.GreaterEq(t, f.minUtilization, utilization, must.Sprint(desc, " ", u.id))
 		}
 	}
--- a/decide/ratelimit/gossip.go
+++ b/decide/ratelimit/gossip.go
@@ -67,7 +67,7 @@
 		}
 		box := &outbox{to: vm}
 		for id, e := range s.limits {
-			if e.limit.Named {
+			if e.limit.Declared {
 				box.add(id)
 			}
 		}
--- a/decide/ratelimit/limits.go
+++ b/decide/ratelimit/limits.go
@@ -55,7 +55,7 @@
 // isNewer reports whether a notice supersedes what is known.
 func (s *State) isNewer(e *limitEntry, n Notice, observedAt time.Time) bool {
 	switch {
-	case e == nil && !n.Limit.Named:
+	case e == nil && !n.Limit.Declared:
 		return false
 	case n.Incarnation != 0 && n.Incarnation < s.listingOf(n.Upstream).incarnation: // of an earlier incarnation
 		return false
@@ -86,14 +86,14 @@
 // its request was sent after the limit was last declared, since a response may begin long before it arrives.
 func (s *State) observeLimit(now time.Time, ev LimitObserved) {
 	n := Notice{Upstream: ev.Upstream.ID, Incarnation: ev.Upstream.Incarnation, Limit: ev.Limit}
-	if !ev.Limit.Named {
+	if !ev.Limit.Declared {
 		n.AgeMs = max(now.Sub(ev.SentAt).Milliseconds(), 0)
 	}
 	before := s.limitOf(n.Upstream)
 	if !s.applyNotice(now, n, "") {
 		return
 	}
-	if before.Named != ev.Limit.Named {
+	if before.Declared != ev.Limit.Declared {
 		s.queueNotice(now, n.Upstream, "")
 	} else {
 		s.notifyOwners(now, n.Upstream)
@@ -104,7 +104,7 @@
 func (s *State) receiveNotices(now time.Time, ev NoticesReceived) {
 	for _, n := range ev.Notices {
 		before := s.limitOf(n.Upstream)
-		if s.applyNotice(now, n, ev.From) && before.Named != n.Limit.Named {
+		if s.applyNotice(now, n, ev.From) && before.Declared != n.Limit.Declared {
 			s.queueNotice(now, n.Upstream, ev.From)
 		}
 	}
@@ -173,7 +173,7 @@
 func (s *State) forget(now time.Time, upstream vaneyoke.UpstreamID) {
 	e := s.limits[upstream]
 	delete(s.limits, upstream)
-	if e.limit.Named {
+	if e.limit.Declared {
 		e.limit = vaneyoke.Limit{}
 		s.emit(LimitUpdated{Notice: s.notice(now, upstream, e)})
 		s.scheduleReconcile(now)
--- a/decide/ratelimit/owner.go
+++ b/decide/ratelimit/owner.go
@@ -102,7 +102,7 @@
 	e := s.limits[n.Upstream]
 	switch {
 	case e == nil || ev.Request.Ping:
-	case !e.limit.Named:
+	case !e.limit.Declared:
 		response.Granted = true
 	default:
 		if b := s.bucketOf(n.Upstream, e); b != nil {
--- a/decide/ratelimit/ping.go
+++ b/decide/ratelimit/ping.go
@@ -16,7 +16,7 @@
 	s.nextPing, s.lastPing = time.Time{}, now
 	pinged := map[vaneyoke.VMID]bool{s.self: true}
 	for id, e := range s.limits {
-		if e.bucket == nil || !e.limit.Named || now.Sub(e.bucket.lastRequest) > recentDemand {
+		if e.bucket == nil || !e.limit.Declared || now.Sub(e.bucket.lastRequest) > recentDemand {
 			continue
 		}
 		for _, vm := range slices.Concat(s.ownersOf(id, e), e.standbys) {
--- a/decide/ratelimit/rows.go
+++ b/decide/ratelimit/rows.go
@@ -46,7 +46,7 @@
 		s.rowStateOf(row.Upstream).row = row
 		if s.limits[row.Upstream] == nil {
 			s.applyNotice(now, Notice{
-				Upstream: row.Upstream, Incarnation: row.Incarnation, Limit: vaneyoke.Limit{Named: true, Rate: row.Rate}, AgeMs: maxNoticeAge.Milliseconds(),
+				Upstream: row.Upstream, Incarnation: row.Incarnation, Limit: vaneyoke.Limit{Declared: true, Rate: row.Rate}, AgeMs: maxNoticeAge.Milliseconds(),
 			}, "")
 		}
 	}
@@ -80,7 +80,7 @@
 	}
 	s.nextReconcile = time.Time{}
 	for id, e := range s.limits {
-		if e.limit.Named {
+		if e.limit.Declared {
 			s.rowStateOf(id)
 		}
 	}
@@ -100,7 +100,7 @@
 // desiredRow returns the row that the store should hold for an upstream, which is the stored one if its rate is within rateTolerance.
 func (s *State) desiredRow(id vaneyoke.UpstreamID, row Row) Row {
 	e := s.limits[id]
-	if e == nil || !e.limit.Named {
+	if e == nil || !e.limit.Declared {
 		return Row{}
 	}
 	withinTolerance := math.Abs(float64(row.Rate-e.limit.Rate)) <= rateTolerance*float64(e.limit.Rate)
--- a/decide/ratelimit/sim_test.go
+++ b/decide/ratelimit/sim_test.go
@@ -309,7 +309,7 @@
 
 // declareLimit makes an upstream declare a limit from now on.
 func (s *simulation) declareLimit(u *upstream, rate vaneyoke.PerSecond) {
-	u.limits = append(u.limits, limitChange{s.now, vaneyoke.Limit{Named: true, Rate: rate}})
+	u.limits = append(u.limits, limitChange{s.now, vaneyoke.Limit{Declared: true, Rate: rate}})
 }
 
 // endLimit makes an upstream declare no limit from now on.
--- a/decide/ratelimit/state.go
+++ b/decide/ratelimit/state.go
@@ -145,6 +145,6 @@
 }
 
 // Limited reports whether an upstream declares a rate limit.
-func (s *State) Limited(upstream vaneyoke.UpstreamID) bool { return s.limitOf(upstream).Named }
+func (s *State) Limited(upstream vaneyoke.UpstreamID) bool { return s.limitOf(upstream).Declared }
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
--- a/decide/ratelimit/state_test.go
+++ b/decide/ratelimit/state_test.go
@@ -40,7 +40,7 @@
 
 // observe reports a response in which the upstream declares a limit, to a request sent sentAgo before now; a negative rate stands for no limit.
 func (h *harness) observe(rate vaneyoke.PerSecond, sentAgo time.Duration) []ratelimit.Effect {
-	limit := vaneyoke.Limit{Named: rate >= 0, Rate: max(rate, 0)}
+	limit := vaneyoke.Limit{Declared: rate >= 0, Rate: max(rate, 0)}
 	return h.handle(ratelimit.LimitObserved{Upstream: vaneyoke.Upstream{ID: "u", Incarnation: 5}, Limit: limit, SentAt: h.now.Add(-sentAgo)})
 }
 
@@ -116,7 +116,7 @@
 	must.False(t, h.state.Limited("u"))
 	receive := func(age time.Duration, incarnation vaneyoke.Incarnation) bool {
 		h.handle(ratelimit.NoticesReceived{From: "vm1", Notices: []ratelimit.Notice{{
-			Upstream: "u", Incarnation: incarnation, Limit: vaneyoke.Limit{Named: true, Rate: 1}, AgeMs: age.Milliseconds(),
+			Upstream: "u", Incarnation: incarnation, Limit: vaneyoke.Limit{Declared: true, Rate: 1}, AgeMs: age.Milliseconds(),
 		}}})
 		return h.state.Limited("u")
 	}
@@ -249,7 +249,7 @@
 	for i := range 20 * 690 {
 		h.now = began.Add(time.Duration(i) * 20 * time.Second / (20 * 690))
 		count(h.handle(ratelimit.NoticesReceived{From: "vm1", Notices: []ratelimit.Notice{{
-			Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", i%690)), Limit: vaneyoke.Limit{Named: true, Rate: vaneyoke.PerSecond(i + 1)},
+			Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", i%690)), Limit: vaneyoke.Limit{Declared: true, Rate: vaneyoke.PerSecond(i + 1)},
 		}}}))
 		if at := h.state.NextTick(); !at.IsZero() && !h.now.Before(at) {
 			count(h.handle(ratelimit.Tick{}))
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -44,8 +44,8 @@
 	Kind        Kind
 	Resumable   bool          // whether another upstream can go on with a stream
 	Timeout     time.Duration // longest time that a request may be held; 0 for no bound
-	Goal        time.Duration // time to the answer, or to a stream's first event, that is aimed at
-	Pause       time.Duration // pause between a stream's events that is aimed at
+	LatencyGoal        time.Duration // time to the answer, or to a stream's first event, that is aimed at
+	EventIntervalGoal       time.Duration // pause between a stream's events that is aimed at
 	Priority    int           // 0 is the most urgent
 	MaxAttempts int           // upstreams that a request may be sent to; 0 stands for 1
 	Public      bool          // whether a request needs no key
@@ -57,8 +57,8 @@
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Service returns the target at a point, from 0 up to but not including 1, of the targets' weights.
-func (r *Route) Service(point float64) vaneyoke.ServiceID {
+// ServiceAt returns the target at a point, from 0 up to but not including 1, of the targets' weights.
+func (r *Route) ServiceAt(point float64) vaneyoke.ServiceID {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -79,9 +79,9 @@
 // Service says what a service's upstreams can do.
 type Service struct {
 	ID          vaneyoke.ServiceID
-	Connections int    // connections that an upstream takes from all nodes together; 0 where unknown
+	MaxConnections int    // connections that an upstream takes from all nodes together; 0 where unknown
 	Replicas    bool   // whether an upstream can keep a copy of another's run
-	Health      string // path on which an upstream tells who it is; "" where it does not
+	HealthPath      string // path on which an upstream tells who it is; "" where it does not
 }
 
 // Workspace is a customer and the keys that speak for it.
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -16,7 +16,7 @@
 		{ID: "other", Host: "yard.example", Prefix: "/a/"},
 	}
 	workspaces := []route.Workspace{{ID: "weavers", Keys: []string{"k1", "k2"}}}
-	return route.NewTable(3, routes, []route.Service{{ID: "one", Connections: 7}}, workspaces, route.Limits{BodyBytes: 9})
+	return route.NewTable(3, routes, []route.Service{{ID: "one", MaxConnections: 7}}, workspaces, route.Limits{BodyBytes: 9})
 }
 
 func TestFind(t *testing.T) {
@@ -82,11 +82,11 @@
 	r := route.Route{Targets: []route.Target{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}}
 	counts := map[vaneyoke.ServiceID]int{}
 	for i := range 1000 {
-		counts[r.Service(float64(i)/1000)]++
+		counts[r.ServiceAt(float64(i)/1000)]++
 	}
 	must.Eq(t, map[vaneyoke.ServiceID]int{"a": 900, "b": 100}, counts)
-	must.EqOp(t, "a", (&route.Route{Targets: []route.Target{{Service: "a"}}}).Service(0.5))
-	must.EqOp(t, "", (&route.Route{}).Service(0.5))
+	must.EqOp(t, "a", (&route.Route{Targets: []route.Target{{Service: "a"}}}).ServiceAt(0.5))
+	must.EqOp(t, "", (&route.Route{}).ServiceAt(0.5))
 }
 
 func TestWhatMayBeRepeated(t *testing.T) {
@@ -97,7 +97,7 @@
 }
 
 func TestServiceAndLimits(t *testing.T) {
-	must.EqOp(t, 7, table().Service("one").Connections)
+	must.EqOp(t, 7, table().Service("one").MaxConnections)
 	must.Eq(t, route.Service{ID: "two"}, table().Service("two"))
 	must.EqOp(t, int64(9), table().Limits().BodyBytes)
 	must.EqOp(t, vaneyoke.Revision(3), table().Version())
--- a/rate.go
+++ b/rate.go
@@ -10,6 +10,6 @@
 
 // Limit is how many requests an upstream takes from all nodes together; the zero value is that of one which names none.
 type Limit struct {
-	Named bool      `json:"named"`
+	Declared bool      `json:"named"`
 	Rate  PerSecond `json:"rate"`
 }
--- a/shell/failover/session.go
+++ b/shell/failover/session.go
@@ -156,7 +156,7 @@
 }
 
 // pushed takes in what became of a delta.
-func (s *session) pushed(d journal.Delta, to vaneyoke.VMID, state journal.PushState) {
+func (s *session) pushed(d journal.Delta, to vaneyoke.VMID, state journal.PushOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pushing = false
@@ -164,7 +164,7 @@
 		return
 	}
 	switch state {
-	case journal.PushKept:
+	case journal.PushAccepted:
 		s.acked.ids = int(d.From) + len(d.IDs)
 		s.acked.text = d.TextFrom + len(d.Text)
 		s.acked.prompt = true
@@ -208,7 +208,7 @@
 		r, have := saved.Restored, s.confirmed(saved)
 		c.Stream = cursor.StreamDigest(saved.StreamName)
 		c.Backup = s.backup.VM
-		c.TailFrom, c.TailAt = vaneyoke.Tokens(have.ids), have.text
+		c.TailFrom, c.TailTextFrom = vaneyoke.Tokens(have.ids), have.text
 		c.TailIDs, c.TailText = r.IDs[have.ids:], r.Text[min(have.text, len(r.Text)):]
 	}
 	return s.manager.ring.Encode(c), true
--- a/shell/relay/relay.go
+++ b/shell/relay/relay.go
@@ -40,7 +40,7 @@
 	// HasRoom reports whether an upstream that may get a prompt has room for it, as far as upstreams told of their memory.
 	HasRoom(need placement.Need) bool
 	// Reported notes what an upstream told of its work.
-	Reported(id vaneyoke.UpstreamID, report vaneyoke.Report)
+	Reported(id vaneyoke.UpstreamID, report vaneyoke.LoadReport)
 	// Replica returns an upstream that can keep a replica of a run on another; ok is false where there is none.
 	Replica(need placement.Need, primary vaneyoke.Upstream) (replica vaneyoke.Upstream, ok bool)
 	// Released notes that a replica is needed no more.
@@ -208,7 +208,7 @@
 	if req.Continuable {
 		return &streamed{req: req}
 	}
-	run := openai.WholeRun(req)
+	run := openai.NonStreamRequest(req)
 	return &whole{path: run.Path, body: encode(run.Fields)}
 }
 
