--- a/api/callerapi/generate.go
+++ b/api/callerapi/generate.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	a.complete(ctx, &req, workspace, "", in)
-	req.Content = vaneyoke.ContentOf([]byte(workspace.ID), []byte(strconv.Itoa(int(endpoint))), in.RawBody)
+	req.Content = vaneyoke.NewContentID([]byte(workspace.ID), []byte(strconv.Itoa(int(endpoint))), in.RawBody)
 	req.Repeatable = in.Repeatable != "false"
 	ctx, span := a.startSpan(ctx, "caller", in.TraceParent)
 	defer span.End()
--- a/api/callerapi/service.go
+++ b/api/callerapi/service.go
@@ -49,7 +49,7 @@
 	}
 	req := vaneyoke.Request{Repeatable: in.Repeatable == "true"}
 	a.complete(ctx, &req, workspace, in.Service, &in.CallInput)
-	req.Content = vaneyoke.ContentOf([]byte(workspace.ID), []byte(in.Service), []byte(in.Call), in.RawBody)
+	req.Content = vaneyoke.NewContentID([]byte(workspace.ID), []byte(in.Service), []byte(in.Call), in.RawBody)
 	ctx, span := a.startSpan(ctx, "caller", in.TraceParent)
 	defer span.End()
 	if in.Key == "" || req.Repeatable {
--- a/api/gateway/gateway.go
+++ b/api/gateway/gateway.go
@@ -149,7 +149,7 @@
 		return req, relay.Forwarding{}, err
 	}
 	fill(req, found, workspace, envelope)
-	req.Content = vaneyoke.ContentOf([]byte(workspace.ID), []byte(r.Method), []byte(r.Host), []byte(r.RequestURI), body)
+	req.Content = vaneyoke.NewContentID([]byte(workspace.ID), []byte(r.Method), []byte(r.Host), []byte(r.RequestURI), body)
 	f := forwardingOf(table, found, envelope)
 	f.Deadline = c.received.Add(longest)
 	f.Message = &forward.Message{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: envelope.Header, Body: body}
--- a/code.go
+++ b/code.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Code is a numbered result code; it stands in answers, logs, traces and exit statuses, and docs/RESULT-CODES.md lists all of them.
+// Code is a numeric result code. It appears in responses, logs, traces and exit statuses; docs/RESULT-CODES.md lists all codes.
 type Code int
 
 // The result codes.
@@ -64,8 +64,8 @@
 type CodeInfo struct {
 	Code   Code
 	Name   string
-	Status int    // HTTP status; 0 where the code never reaches HTTP
-	NotRun bool   // whether the code promises that nothing was run
+	Status int    // HTTP status; 0 for a code that is never returned over HTTP
+	NotRun bool   // whether the code guarantees that nothing was run
 	Text   string // what happened, in one sentence
 }
 
@@ -112,7 +112,7 @@
 	{CodeInternal, "internal", http.StatusInternalServerError, false, "The node found a fault in itself."},
 }
 
-// Codes returns every result code in rising order.
+// Codes returns every result code in ascending order.
 func Codes() []CodeInfo { return codeTable }
 
 // Info returns the description of c, or that of CodeInternal for a number that is not in the table.
--- a/codes_page.go
+++ b/codes_page.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-const codesHead = `# Result codes
+const codesPageHeader = `# Result codes
 
 Every failure has a number. It stands in the body of an HTTP answer (` + "`error.code`, with its name in `error.type`" + `), in
 the log (` + "`code=`" + `), in the traces and, where a command ends with it, in the exit status. *Not run* says whether the code
@@ -15,10 +15,10 @@
 | --- | --- | --- | --- | --- |
 `
 
-// CodesPage returns docs/RESULT-CODES.md.
+// CodesPage renders the content of docs/RESULT-CODES.md.
 func CodesPage() string {
 	var b strings.Builder
-	b.WriteString(codesHead)
+	b.WriteString(codesPageHeader)
 	for _, info := range Codes() {
 		status, notRun := "-", "no"
 		if info.Status > 0 {
--- a/content.go
+++ b/content.go
@@ -6,18 +6,18 @@
 	"encoding/hex"
 )
 
-// ContentID names what a request asks: two requests with the same path, workspace and body have the same one, whatever their ids are.
+// ContentID identifies the content of a request: requests with the same path, workspace and body share one, whatever their request ids are.
 type ContentID string
 
-// contentBytes is the length of a content's digest: two of a billion contents have the same one with a chance of 1 in 10^11.
-const contentBytes = 12
+// contentIDBytes is the length of the truncated digest: the probability that any two of a billion contents collide is 1 in 10^11.
+const contentIDBytes = 12
 
-// ContentOf returns what a request asks, by the parts that tell it from others; it is the same at each node.
-func ContentOf(parts ...[]byte) ContentID {
+// NewContentID returns the digest of the given parts of a request; every node computes the same one.
+func NewContentID(parts ...[]byte) ContentID {
 	digest := sha256.New()
-	for _, part := range parts { // a digest takes all, and returns no error
+	for _, part := range parts { // writes to a hash never fail
 		_ = binary.Write(digest, binary.BigEndian, uint64(len(part)))
 		_, _ = digest.Write(part)
 	}
-	return ContentID(hex.EncodeToString(digest.Sum(nil)[:contentBytes]))
+	return ContentID(hex.EncodeToString(digest.Sum(nil)[:contentIDBytes]))
 }
--- a/decide/generation/ask.go
+++ b/decide/generation/ask.go
@@ -47,15 +47,15 @@
 // worthWaiting reports whether a silent run is waited for after what its upstream said of it.
 func (s *State) worthWaiting(now time.Time, r *run, ev Asked) bool {
 	if r.gaps.count == 0 {
-		return ev.Work >= vaneyoke.WorkQueued
+		return ev.Work >= vaneyoke.RunStateQueued
 	}
 	silent := now.Sub(r.gaps.last)
 	switch ev.Work {
-	case vaneyoke.WorkUnknown:
+	case vaneyoke.RunStateUnknown:
 		return false
-	case vaneyoke.WorkNone: // known only once the account must be younger than the last piece
+	case vaneyoke.RunStateNone: // known only once the account must be younger than the last piece
 		return silent < s.cfg.Pause
-	case vaneyoke.WorkQueued: // the same, where it was put back and is to be read anew there
+	case vaneyoke.RunStateQueued: // the same, where it was put back and is to be read anew there
 		return silent < s.cfg.Pause || (r.replica == "" && silent < s.standstill(r))
 	default:
 		return s.progresses(silent, r, ev)
--- a/decide/generation/ask_test.go
+++ b/decide/generation/ask_test.go
@@ -34,27 +34,27 @@
 // TestSilentStreamIsAskedAbout has an engine fall silent within a stream, and say different things when it is asked.
 func TestSilentStreamIsAskedAbout(t *testing.T) {
 	type says struct {
-		work vaneyoke.Work
+		work vaneyoke.RunState
 		made vaneyoke.Tokens
 	}
-	running := says{vaneyoke.WorkRunning, 2}
+	running := says{vaneyoke.RunStateRunning, 2}
 	cases := map[string]struct {
 		replica vaneyoke.UpstreamID
 		answers []says        // in turn, the last for all further questions
 		lost    time.Duration // silence within which the run is given up
 		early   time.Duration // silence before which it is not
 	}{
-		"it does not answer":                 {"e2", []says{{vaneyoke.WorkUnknown, 0}}, askedPause / 2, 0},
-		"it does not answer, no replica":     {"", []says{{vaneyoke.WorkUnknown, 0}}, askedPause / 2, 0},
-		"it answers once, then no more":      {"e2", []says{running, {vaneyoke.WorkUnknown, 0}}, askedPause, 0},
+		"it does not answer":                 {"e2", []says{{vaneyoke.RunStateUnknown, 0}}, askedPause / 2, 0},
+		"it does not answer, no replica":     {"", []says{{vaneyoke.RunStateUnknown, 0}}, askedPause / 2, 0},
+		"it answers once, then no more":      {"e2", []says{running, {vaneyoke.RunStateUnknown, 0}}, askedPause, 0},
 		"it works, with a replica":           {"e2", []says{running}, 3 * askedPause, 2 * askedPause},
 		"it works, without a replica":        {"", []says{running}, askedAnew + askedPause, askedAnew},
-		"its account is older than the last": {"", []says{{vaneyoke.WorkRunning, 1}}, askedAnew + askedPause, askedAnew},
-		"it does not know the run":           {"", []says{{vaneyoke.WorkNone, 0}}, 2 * askedPause, askedPause},
-		"it has put the run back":            {"e2", []says{{vaneyoke.WorkQueued, 0}}, 2 * askedPause, askedPause},
-		"it has put it back, no replica":     {"", []says{{vaneyoke.WorkQueued, 0}}, askedAnew + askedPause, askedAnew},
-		"pieces are on their way":            {"e2", []says{{vaneyoke.WorkRunning, 3}, running}, 3 * askedPause, 2 * askedPause},
-		"pieces went into a dead connection": {"e2", []says{{vaneyoke.WorkRunning, 3}, {vaneyoke.WorkRunning, 9}}, askedPause, 0},
+		"its account is older than the last": {"", []says{{vaneyoke.RunStateRunning, 1}}, askedAnew + askedPause, askedAnew},
+		"it does not know the run":           {"", []says{{vaneyoke.RunStateNone, 0}}, 2 * askedPause, askedPause},
+		"it has put the run back":            {"e2", []says{{vaneyoke.RunStateQueued, 0}}, 2 * askedPause, askedPause},
+		"it has put it back, no replica":     {"", []says{{vaneyoke.RunStateQueued, 0}}, askedAnew + askedPause, askedAnew},
+		"pieces are on their way":            {"e2", []says{{vaneyoke.RunStateRunning, 3}, running}, 3 * askedPause, 2 * askedPause},
+		"pieces went into a dead connection": {"e2", []says{{vaneyoke.RunStateRunning, 3}, {vaneyoke.RunStateRunning, 9}}, askedPause, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,12 +82,12 @@
 	o := begun(t, "e2")
 	o.now = o.state.Deadline()
 	find[generation.Ask](t, o.handle(generation.Tick{}))
-	o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkRunning, Made: 3})
+	o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateRunning, Made: 3})
 	o.piece(2)
-	must.SliceEmpty(t, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkUnknown}))
+	must.SliceEmpty(t, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateUnknown}))
 	o.now = o.state.Deadline()
 	find[generation.Ask](t, o.handle(generation.Tick{}))
-	must.SliceEmpty(t, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkRunning, Made: 4})) // the first in a row
+	must.SliceEmpty(t, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateRunning, Made: 4})) // the first in a row
 }
 
 // TestSlowStreamIsAskedAboutSeldom has pieces come evenly, further apart than a silence that calls for a question at first.
@@ -101,7 +101,7 @@
 		for o.state.Deadline().Before(end) {
 			o.now = o.state.Deadline()
 			find[generation.Ask](t, o.handle(generation.Tick{}))
-			o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkRunning, Made: vaneyoke.Tokens(n + 2)})
+			o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateRunning, Made: vaneyoke.Tokens(n + 2)})
 			if n > learned {
 				asked++
 			}
--- a/decide/generation/event.go
+++ b/decide/generation/event.go
@@ -37,7 +37,7 @@
 // Asked says what an upstream tells of an attempt's run, in answer to Ask.
 type Asked struct {
 	Attempt vaneyoke.Attempt
-	Work    vaneyoke.Work
+	Work    vaneyoke.RunState
 	Made    vaneyoke.Tokens // pieces of the answer that the upstream has made; 0 where it does not say
 }
 
--- a/decide/generation/opaque_property_test.go
+++ b/decide/generation/opaque_property_test.go
@@ -188,7 +188,7 @@
 			"asked": func(t *rapid.T) {
 				if attempt, ok := f.attempt(); ok {
 					f.handle(generation.Asked{
-						Attempt: attempt, Work: vaneyoke.Work(rapid.IntRange(0, 3).Draw(t, "work")), Made: vaneyoke.Tokens(rapid.IntRange(0, 9).Draw(t, "made")),
+						Attempt: attempt, Work: vaneyoke.RunState(rapid.IntRange(0, 3).Draw(t, "work")), Made: vaneyoke.Tokens(rapid.IntRange(0, 9).Draw(t, "made")),
 					})
 				}
 			},
--- a/decide/generation/opaque_test.go
+++ b/decide/generation/opaque_test.go
@@ -181,7 +181,7 @@
 		o.now = o.state.Deadline()
 		must.EqOp(t, time.Duration(n+1)*patience, o.now.Sub(sent))
 		must.EqOp(t, "e1", find[generation.Ask](t, o.handle(generation.Tick{})).Upstream)
-		must.Len(t, 0, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkRunning}))
+		must.Len(t, 0, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateRunning}))
 	}
 	o.now = o.state.Deadline()
 	must.EqOp(t, 3*patience, o.now.Sub(sent))
@@ -190,16 +190,16 @@
 	o = start()
 	o.now = o.state.Deadline()
 	find[generation.Ask](t, o.handle(generation.Tick{}))
-	effects := o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkUnknown})
+	effects := o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateUnknown})
 	must.EqOp(t, generation.CauseSilent, find[generation.Cancel](t, effects).Cause)
 	must.True(t, has[generation.Place](effects))
 
 	o = start()
-	must.Len(t, 0, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkUnknown})) // nobody asked
+	must.Len(t, 0, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateUnknown})) // nobody asked
 	o.now = o.state.Deadline()
 	find[generation.Ask](t, o.handle(generation.Tick{}))
 	o.piece(0)
-	must.Len(t, 0, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkUnknown}))
+	must.Len(t, 0, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateUnknown}))
 }
 
 func TestLateProbeDoesNotEndARunThatHasBegun(t *testing.T) {
@@ -360,7 +360,7 @@
 			effects := o.silentFor(700 * time.Millisecond)
 			must.True(t, has[generation.Ask](effects))
 			must.False(t, has[generation.Cancel](effects))
-			o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkRunning})
+			o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateRunning})
 		}
 		o.piece(4)
 		must.EqOp(t, 5, o.state.Transcript().Len())
@@ -368,7 +368,7 @@
 	t.Run("its engine does not", func(t *testing.T) {
 		o := begin(t)
 		o.silentFor(700 * time.Millisecond)
-		lost := o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkUnknown})
+		lost := o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateUnknown})
 		o.place(lost, "e3", "")
 		o.piece(4)
 		must.False(t, has[generation.Cancel](o.silentFor(5*time.Second)))
@@ -380,6 +380,6 @@
 		o := begin(t)
 		o.silentFor(700 * time.Millisecond)
 		o.piece(4)
-		must.SliceEmpty(t, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.WorkUnknown}))
+		must.SliceEmpty(t, o.handle(generation.Asked{Attempt: o.last, Work: vaneyoke.RunStateUnknown}))
 	})
 }
--- a/decide/generation/settle_test.go
+++ b/decide/generation/settle_test.go
@@ -82,10 +82,10 @@
 func (f *settleFleet) told(s *settleStream, e generation.Ask) generation.Asked {
 	for _, r := range f.engines[int(e.Upstream[0]-'a')] {
 		if r.stream == s && r.attempt == e.Attempt && f.now.Sub(r.began) > settleLag {
-			return generation.Asked{Attempt: e.Attempt, Work: vaneyoke.WorkRunning, Made: r.next}
+			return generation.Asked{Attempt: e.Attempt, Work: vaneyoke.RunStateRunning, Made: r.next}
 		}
 	}
-	return generation.Asked{Attempt: e.Attempt, Work: vaneyoke.WorkNone}
+	return generation.Asked{Attempt: e.Attempt, Work: vaneyoke.RunStateNone}
 }
 
 func (f *settleFleet) drop(s *settleStream, attempt vaneyoke.Attempt) {
--- a/decide/placement/affinity.go
+++ b/decide/placement/affinity.go
@@ -43,7 +43,7 @@
 // which questions would use up.
 func (s *State) Homes(now time.Time, need Need) []vaneyoke.Upstream {
 	return lo.FilterMap(byHash(need.Affinity, s.mayGet(now, need), homes), func(e *entry, _ int) (vaneyoke.Upstream, bool) {
-		return e.upstream, !e.limit.Named
+		return e.upstream, !e.limit.Declared
 	})
 }
 
@@ -57,7 +57,7 @@
 	drawn := make([]vaneyoke.Upstream, 0, spares)
 	seen := 0
 	for _, e := range candidates { // each of those that qualify is drawn with the same chance, whatever their number
-		if e.told(now) || e.limit.Named {
+		if e.told(now) || e.limit.Declared {
 			continue
 		}
 		seen++
@@ -79,7 +79,7 @@
 	}
 	return lo.MinBy(told, func(a, b *entry) bool {
 		return cmp.Or(
-			cmp.Compare(a.prompts(), b.prompts()), cmp.Compare(a.reported.Used, b.reported.Used), cmp.Compare(a.runs(now), b.runs(now)),
+			cmp.Compare(a.prompts(), b.prompts()), cmp.Compare(a.reported.KVInUse, b.reported.KVInUse), cmp.Compare(a.runs(now), b.runs(now)),
 		) < 0
 	})
 }
@@ -102,26 +102,26 @@
 // hasRoom reports whether the upstream's memory has room for a prompt beside those that it has still to read, which are taken to be as
 // long, and for what runs grow by; true where it did not tell, and where it has nothing else to do.
 func (e *entry) hasRoom(now time.Time, need Need) bool {
-	if !e.told(now) || e.reported.Size == 0 || (e.reported.Used == 0 && e.prompts() == 0) {
+	if !e.told(now) || e.reported.KVSize == 0 || (e.reported.KVInUse == 0 && e.prompts() == 0) {
 		return true
 	}
-	wanted := int(e.reported.Used) + (e.prompts()+1)*need.Bytes
-	return float64(wanted) <= roomShare*float64(e.reported.Size)
+	wanted := int(e.reported.KVInUse) + (e.prompts()+1)*need.Bytes
+	return float64(wanted) <= roomShare*float64(e.reported.KVSize)
 }
 
 // prompts returns how many prompts the upstream has to read.
-func (e *entry) prompts() int { return max(e.reported.Prompts, e.waiting) }
+func (e *entry) prompts() int { return max(e.reported.PendingPrompts, e.waiting) }
 
 // Holders returns the upstreams that may keep a prompt, because it is sent to them for its affinity.
 func (s *State) Holders(now time.Time, need Need) []vaneyoke.Upstream {
 	candidates := lo.Filter(s.order, func(e *entry, _ int) bool {
-		return e.takesWork(now) && offers(&e.upstream, need) && s.suits(need, e, false) && !e.limit.Named
+		return e.takesWork(now) && offers(&e.upstream, need) && s.suits(need, e, false) && !e.limit.Declared
 	})
 	return lo.Map(byHash(need.Affinity, candidates, holders), func(e *entry, _ int) vaneyoke.Upstream { return e.upstream })
 }
 
 // Reported notes what an upstream told of its work.
-func (s *State) Reported(now time.Time, id vaneyoke.UpstreamID, report vaneyoke.Report) {
+func (s *State) Reported(now time.Time, id vaneyoke.UpstreamID, report vaneyoke.LoadReport) {
 	e, ok := s.entries[id]
 	if !ok || (report.Incarnation != 0 && report.Incarnation < e.upstream.Incarnation) { // of an earlier life
 		return
@@ -148,7 +148,7 @@
 
 // reportedBusy reports whether the upstream said a short while ago that it has prompts to read.
 func (e *entry) reportedBusy(now time.Time) bool {
-	return e.reported.Prompts > 0 && e.told(now)
+	return e.reported.PendingPrompts > 0 && e.told(now)
 }
 
 // ranked is a candidate and its hash for a prompt.
--- a/decide/placement/declined_test.go
+++ b/decide/placement/declined_test.go
@@ -80,7 +80,7 @@
 	s := limitedState("u0", "u1", "u2", "u3", "u4")
 	home, _, _ := s.Pick(now, rng(), prompt)
 	for _, id := range []vaneyoke.UpstreamID{"u0", "u1", "u2", "u3", "u4"} {
-		s.Reported(now, id, vaneyoke.Report{})
+		s.Reported(now, id, vaneyoke.LoadReport{})
 	}
 	s.Sent(now, home.ID)
 	s.Ended(now, home.ID, placement.OutcomeDeclined, false)
--- a/decide/placement/fall_test.go
+++ b/decide/placement/fall_test.go
@@ -83,7 +83,7 @@
 		}
 		report := e.told[max(len(e.told)-int(toldLag/fallBeat), 0)]
 		if b.hidesMemory {
-			report.Size = 0
+			report.KVSize = 0
 		}
 		s.Reported(now, u.ID, report)
 	}
@@ -143,16 +143,16 @@
 // TestWhoHasRoom has an upstream tell of its memory, while prompts of 1,000 tokens come.
 func TestWhoHasRoom(t *testing.T) {
 	for name, tc := range map[string]struct {
-		report vaneyoke.Report
+		report vaneyoke.LoadReport
 		want   bool
 	}{
-		"says nothing":               {vaneyoke.Report{Prompts: 9, Runs: 9}, true},
-		"room":                       {vaneyoke.Report{Used: 2400, Size: 4000}, true},
-		"full":                       {vaneyoke.Report{Used: 2500, Size: 4000}, false},
-		"full once it has read":      {vaneyoke.Report{Used: 1500, Prompts: 1, Size: 4000}, false},
-		"idle, just large enough":    {vaneyoke.Report{Size: 1100}, true},
-		"busy, just large enough":    {vaneyoke.Report{Used: 10, Size: 1100}, false},
-		"reads what is large enough": {vaneyoke.Report{Prompts: 1, Size: 1100}, false},
+		"says nothing":               {vaneyoke.LoadReport{PendingPrompts: 9, Runs: 9}, true},
+		"room":                       {vaneyoke.LoadReport{KVInUse: 2400, KVSize: 4000}, true},
+		"full":                       {vaneyoke.LoadReport{KVInUse: 2500, KVSize: 4000}, false},
+		"full once it has read":      {vaneyoke.LoadReport{KVInUse: 1500, PendingPrompts: 1, KVSize: 4000}, false},
+		"idle, just large enough":    {vaneyoke.LoadReport{KVSize: 1100}, true},
+		"busy, just large enough":    {vaneyoke.LoadReport{KVInUse: 10, KVSize: 1100}, false},
+		"reads what is large enough": {vaneyoke.LoadReport{PendingPrompts: 1, KVSize: 1100}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now, wanted := time.Unix(1000, 0), need
--- a/decide/placement/fall_world_test.go
+++ b/decide/placement/fall_world_test.go
@@ -43,7 +43,7 @@
 	runs    []*fallRun
 	copies  map[*fallRun]bool
 	reading int // tokens of the first in the queue that have been read
-	told    []vaneyoke.Report
+	told    []vaneyoke.LoadReport
 }
 
 type fallRun struct {
@@ -92,7 +92,7 @@
 		w.arrive()
 		for _, e := range w.engines {
 			w.work(e)
-			e.told = append(e.told, vaneyoke.Report{Prompts: len(e.queue), Runs: len(e.queue) + len(e.runs), Used: vaneyoke.Tokens(e.memory()), Size: fallMemory})
+			e.told = append(e.told, vaneyoke.LoadReport{PendingPrompts: len(e.queue), Runs: len(e.queue) + len(e.runs), KVInUse: vaneyoke.Tokens(e.memory()), KVSize: fallMemory})
 		}
 	}
 	return float64(w.inAim) / float64(w.asked)
--- a/decide/placement/limited.go
+++ b/decide/placement/limited.go
@@ -9,7 +9,7 @@
 // SetLimit takes in that an upstream names a limit, or none any more.
 func (s *State) SetLimit(id vaneyoke.UpstreamID, limit vaneyoke.Limit) {
 	delete(s.limits, id)
-	if limit.Named {
+	if limit.Declared {
 		s.limits[id] = limit
 	}
 	e, ok := s.entries[id]
@@ -17,7 +17,7 @@
 		return
 	}
 	e.limit = limit
-	if !limit.Named {
+	if !limit.Declared {
 		e.withheld, e.turn = time.Time{}, time.Time{}
 	}
 }
@@ -35,7 +35,7 @@
 func (s *State) ComeBack(now time.Time, need Need) (after time.Duration, ok bool) {
 	var first *entry
 	for _, e := range s.order {
-		if e.limit.Named && now.Before(e.withheld) && e.upstream.State == vaneyoke.StateLive && offers(&e.upstream, need) && (first == nil || e.turn.Before(first.turn)) {
+		if e.limit.Declared && now.Before(e.withheld) && e.upstream.State == vaneyoke.StateLive && offers(&e.upstream, need) && (first == nil || e.turn.Before(first.turn)) {
 			first = e
 		}
 	}
--- a/decide/placement/limited_test.go
+++ b/decide/placement/limited_test.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-var limit = vaneyoke.Limit{Named: true, Rate: 2}
+var limit = vaneyoke.Limit{Declared: true, Rate: 2}
 
 // TestWithheldUpstreamsGetNothing has the limits of two of three upstreams leave nothing: requests go to the third; where that names one, too, the
 // callers are told to come back one after the other.
--- a/decide/placement/load.go
+++ b/decide/placement/load.go
@@ -29,7 +29,7 @@
 func (s *State) Loads(now time.Time) []Load {
 	return lo.Map(s.order, func(e *entry, _ int) Load {
 		return Load{
-			Upstream: e.upstream, InFlight: e.inFlight, Open: e.breaker.IsOpen(), Drained: e.drained, Limited: e.limit.Named,
+			Upstream: e.upstream, InFlight: e.inFlight, Open: e.breaker.IsOpen(), Drained: e.drained, Limited: e.limit.Declared,
 			Held: e.hold.At(now, &e.upstream), Ended: e.ended,
 		}
 	})
--- a/decide/placement/opaque_test.go
+++ b/decide/placement/opaque_test.go
@@ -187,10 +187,10 @@
 	must.Len(t, 4, homes)
 	must.EqOp(t, homes[0].ID, pick(s, now)) // nobody has told anything
 	for i, home := range homes {
-		s.Reported(now, home.ID, vaneyoke.Report{Runs: 5 - i})
+		s.Reported(now, home.ID, vaneyoke.LoadReport{Runs: 5 - i})
 	}
 	must.EqOp(t, homes[3].ID, pick(s, now))
-	s.Reported(now, homes[3].ID, vaneyoke.Report{Prompts: 1, Runs: 1})
+	s.Reported(now, homes[3].ID, vaneyoke.LoadReport{PendingPrompts: 1, Runs: 1})
 	must.EqOp(t, homes[2].ID, pick(s, now)) // the other reads a prompt
 	for range 4 {
 		s.Sent(now, homes[2].ID)
--- a/decide/placement/pick.go
+++ b/decide/placement/pick.go
@@ -63,7 +63,7 @@
 	s.scratch = s.scratch[:0]
 	for _, e := range s.order {
 		if !e.mayWork(now) || (!t.open && !e.allows(now, need)) || !offers(&e.upstream, need) || !selector.Matches(&e.upstream) ||
-			!s.suits(need, e, t.other) || (need.Free && e.limit.Named) {
+			!s.suits(need, e, t.other) || (need.Free && e.limit.Declared) {
 			continue
 		}
 		if slices.Contains(need.Avoid, e.upstream.ID) == t.avoided {
--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -34,7 +34,7 @@
 		"its entry comes again":                         func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{listed("u0")}) },
 		"its entry lapses and comes again":              func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{listed("u0")}) },
 		"it names a limit":                              func(s *placement.State) { s.SetLimit("u0", limit) },
-		"it reports":                                    func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Prompts: 1}) },
+		"it reports":                                    func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{PendingPrompts: 1}) },
 		"all that was under way is refused in its turn": func(s *placement.State) { s.Ended(now, "u0", placement.OutcomeDropped, false) },
 	}
 	for name, follow := range follows {
@@ -99,7 +99,7 @@
 	again.Incarnation = 6
 	comesBack := map[string]func(s *placement.State){
 		"its entry says so":  func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{again}) },
-		"it says so itself":  func(s *placement.State) { s.Reported(now, "u0", vaneyoke.Report{Incarnation: 6}) },
+		"it says so itself":  func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{Incarnation: 6}) },
 		"its entry had gone": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{again}) },
 	}
 	for name, comeBack := range comesBack {
--- a/decide/placement/pushback_world_test.go
+++ b/decide/placement/pushback_world_test.go
@@ -224,7 +224,7 @@
 		wanted.Affinity, wanted.Replicate = fmt.Sprint("p", w.rng.IntN(50)), true
 		for _, u := range append(n.state.Homes(w.now, wanted), n.state.Spares(w.now, w.rng, wanted)...) {
 			w.arrive(n, u, w.now)
-			n.state.Reported(w.now, u.ID, vaneyoke.Report{})
+			n.state.Reported(w.now, u.ID, vaneyoke.LoadReport{})
 		}
 	}
 	w.asked++
--- a/decide/placement/reborn_test.go
+++ b/decide/placement/reborn_test.go
@@ -35,7 +35,7 @@
 	}
 	returns := map[string]func(s *placement.State){
 		"its entry says so": func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{again}) },
-		"it says so itself": func(s *placement.State) { s.Reported(now, "u", vaneyoke.Report{Incarnation: 6}) },
+		"it says so itself": func(s *placement.State) { s.Reported(now, "u", vaneyoke.LoadReport{Incarnation: 6}) },
 	}
 	for name, spoil := range spoilt {
 		for how, comeBack := range returns {
@@ -59,8 +59,8 @@
 	u := vaneyoke.Upstream{ID: "u", Kind: need.Kind, Service: "lm", State: vaneyoke.StateLive, URL: "http://x", Incarnation: 5}
 	s := placement.New("a", retry.DefaultBreakerConfig())
 	s.SetUpstreams([]vaneyoke.Upstream{u})
-	s.Reported(now, "u", vaneyoke.Report{Incarnation: 6})
-	s.Reported(now, "u", vaneyoke.Report{Incarnation: 5, Prompts: 9}) // came late
+	s.Reported(now, "u", vaneyoke.LoadReport{Incarnation: 6})
+	s.Reported(now, "u", vaneyoke.LoadReport{Incarnation: 5, PendingPrompts: 9}) // came late
 	prompt := need
 	prompt.Affinity = "p"
 	must.SliceEmpty(t, s.Spares(now, rng(), prompt))
--- a/decide/placement/replica.go
+++ b/decide/placement/replica.go
@@ -15,7 +15,7 @@
 		s.scratch = s.scratch[:0]
 		for _, e := range s.order {
 			apart := e.upstream.ID != primary.ID && (e.upstream.DataCentre != primary.DataCentre) == elsewhere
-			if apart && !e.limit.Named && e.takesWork(now) && offers(&e.upstream, need) && s.together(&e.upstream, &primary) {
+			if apart && !e.limit.Declared && e.takesWork(now) && offers(&e.upstream, need) && s.together(&e.upstream, &primary) {
 				s.scratch = append(s.scratch, e)
 			}
 		}
--- a/decide/placement/short_test.go
+++ b/decide/placement/short_test.go
@@ -27,7 +27,7 @@
 	id    vaneyoke.UpstreamID
 	until time.Time   // when it has read all that it was given
 	queue []time.Time // when each prompt will have been read
-	told  []vaneyoke.Report
+	told  []vaneyoke.LoadReport
 }
 
 const (
@@ -71,7 +71,7 @@
 		f.now = f.now.Add(beat)
 		for _, e := range f.engines {
 			e.queue = slices.DeleteFunc(e.queue, func(at time.Time) bool { return !at.After(f.now) })
-			e.told = append(e.told, vaneyoke.Report{Prompts: len(e.queue), Runs: len(e.queue)})
+			e.told = append(e.told, vaneyoke.LoadReport{PendingPrompts: len(e.queue), Runs: len(e.queue)})
 		}
 		if f.rng.Float64() >= rate*beat.Seconds() {
 			continue
--- a/decide/placement/state.go
+++ b/decide/placement/state.go
@@ -67,7 +67,7 @@
 	first        estimate
 	declines     declines
 	drained      bool
-	reported     vaneyoke.Report // what it told last
+	reported     vaneyoke.LoadReport // what it told last
 	reportedAt   time.Time
 	gone         bool      // whether the list has another upstream at its address
 	goneUntil    time.Time // until which another upstream is taken to have its address, because it answered there
@@ -175,7 +175,7 @@
 // reborn forgets what is known of an upstream's earlier life, but for this node's attempts, which end by themselves.
 func (s *State) reborn(e *entry) {
 	e.breaker = retry.NewBreaker(s.breaker)
-	e.first, e.declines, e.reported, e.replicaBytes = estimate{}, declines{}, vaneyoke.Report{}, 0
+	e.first, e.declines, e.reported, e.replicaBytes = estimate{}, declines{}, vaneyoke.LoadReport{}, 0
 	e.gone, e.goneUntil, e.reportedAt = false, time.Time{}, time.Time{}
 	e.limit, e.withheld, e.turn = vaneyoke.Limit{}, time.Time{}, time.Time{}
 }
--- a/decide/ratelimit/book.go
+++ b/decide/ratelimit/book.go
@@ -54,7 +54,7 @@
 // counts reports whether a notice as of a time tells more than what is known.
 func (s *State) counts(k *known, n Notice, at time.Time) bool {
 	switch {
-	case k == nil && !n.Limit.Named:
+	case k == nil && !n.Limit.Declared:
 		return false
 	case n.Incarnation != 0 && n.Incarnation < s.listed(n.Upstream).incarnation: // of an earlier life
 		return false
@@ -84,14 +84,14 @@
 // last named, since an answer may be begun long before it comes.
 func (s *State) answered(now time.Time, ev Answered) {
 	n := Notice{Upstream: ev.Upstream.ID, Incarnation: ev.Upstream.Incarnation, Limit: ev.Limit}
-	if !ev.Limit.Named {
+	if !ev.Limit.Declared {
 		n.AgeMs = max(now.Sub(ev.SentAt).Milliseconds(), 0)
 	}
 	before := s.limitOf(n.Upstream)
 	if !s.take(now, n, "") {
 		return
 	}
-	if before.Named != ev.Limit.Named {
+	if before.Declared != ev.Limit.Declared {
 		s.spread(now, n.Upstream, "")
 	} else {
 		s.tellKeepers(now, n.Upstream)
@@ -102,7 +102,7 @@
 func (s *State) told(now time.Time, ev Told) {
 	for _, n := range ev.Notices {
 		before := s.limitOf(n.Upstream)
-		if s.take(now, n, ev.From) && before.Named != n.Limit.Named {
+		if s.take(now, n, ev.From) && before.Declared != n.Limit.Declared {
 			s.spread(now, n.Upstream, ev.From)
 		}
 	}
@@ -171,7 +171,7 @@
 func (s *State) forget(now time.Time, upstream vaneyoke.UpstreamID) {
 	k := s.known[upstream]
 	delete(s.known, upstream)
-	if k.limit.Named {
+	if k.limit.Declared {
 		k.limit = vaneyoke.Limit{}
 		s.do(Believe{Notice: s.notice(now, upstream, k)})
 		s.wakeToReview(now)
--- a/decide/ratelimit/fleet_test.go
+++ b/decide/ratelimit/fleet_test.go
@@ -53,7 +53,7 @@
 		if c.at.After(to) || (i+1 < len(u.limits) && !u.limits[i+1].at.After(from)) {
 			continue
 		}
-		if !c.limit.Named {
+		if !c.limit.Declared {
 			return 0, false
 		}
 		rate = max(rate, float64(c.limit.Rate))
@@ -250,7 +250,7 @@
 			t.Logf("%s: %s got at most %d in %s, %.1f under what is allowed; %.2f of what it offers was used at last", what, u.id, got, window, -beyond, used)
 		}
 		must.LessEq(t, 0, beyond, must.Sprint(what, " ", u.id))
-		if u.limit().Named {
+		if u.limit().Declared {
 			must.GreaterEq(t, tr.used, used, must.Sprint(what, " ", u.id))
 		}
 	}
--- a/decide/ratelimit/keeper.go
+++ b/decide/ratelimit/keeper.go
@@ -103,7 +103,7 @@
 	k := s.known[n.Upstream]
 	switch {
 	case k == nil || ev.Question.Ping:
-	case !k.limit.Named:
+	case !k.limit.Declared:
 		answer.Granted = true
 	default:
 		if b := s.bucketOf(n.Upstream, k); b != nil {
--- a/decide/ratelimit/ping.go
+++ b/decide/ratelimit/ping.go
@@ -16,7 +16,7 @@
 	s.pingAt, s.pingedAt = time.Time{}, now
 	pinged := map[vaneyoke.VMID]bool{s.self: true}
 	for id, k := range s.known {
-		if k.bucket == nil || !k.limit.Named || now.Sub(k.bucket.askedAt) > wantedOfLate {
+		if k.bucket == nil || !k.limit.Declared || now.Sub(k.bucket.askedAt) > wantedOfLate {
 			continue
 		}
 		for _, vm := range slices.Concat(s.keepersOf(id, k), k.next) {
--- a/decide/ratelimit/record.go
+++ b/decide/ratelimit/record.go
@@ -46,7 +46,7 @@
 		s.recordOf(row.Upstream).row = row
 		if s.known[row.Upstream] == nil {
 			s.take(now, Notice{
-				Upstream: row.Upstream, Incarnation: row.Incarnation, Limit: vaneyoke.Limit{Named: true, Rate: row.Rate}, AgeMs: oldestNotice.Milliseconds(),
+				Upstream: row.Upstream, Incarnation: row.Incarnation, Limit: vaneyoke.Limit{Declared: true, Rate: row.Rate}, AgeMs: oldestNotice.Milliseconds(),
 			}, "")
 		}
 	}
@@ -80,7 +80,7 @@
 	}
 	s.reviewAt = time.Time{}
 	for id, k := range s.known {
-		if k.limit.Named {
+		if k.limit.Declared {
 			s.recordOf(id)
 		}
 	}
@@ -100,7 +100,7 @@
 // wantedRow returns the row that the store should hold of an upstream; one that is nearly right is left as it is.
 func (s *State) wantedRow(id vaneyoke.UpstreamID, row Row) Row {
 	k := s.known[id]
-	if k == nil || !k.limit.Named {
+	if k == nil || !k.limit.Declared {
 		return Row{}
 	}
 	near := math.Abs(float64(row.Rate-k.limit.Rate)) <= nearShare*float64(k.limit.Rate)
--- a/decide/ratelimit/seek.go
+++ b/decide/ratelimit/seek.go
@@ -30,7 +30,7 @@
 // wanted looks for a permit: a spare one, one of this node's own where it is a keeper, or one of the other keepers in turn.
 func (s *State) wanted(now time.Time, ev Want) {
 	k := s.known[ev.Upstream]
-	if k == nil || !k.limit.Named || k.useSpare(now) {
+	if k == nil || !k.limit.Declared || k.useSpare(now) {
 		s.do(Decide{ID: ev.ID, Granted: true})
 		return
 	}
@@ -83,7 +83,7 @@
 // goOn asks the next keeper; where none is left and none owes an answer, there is no permit.
 func (s *State) goOn(now time.Time, w *want) {
 	k := s.known[w.upstream]
-	if !k.limit.Named { // it has ended meanwhile
+	if !k.limit.Declared { // it has ended meanwhile
 		s.decide(w, Decide{ID: w.id, Granted: true})
 		return
 	}
--- a/decide/ratelimit/spread.go
+++ b/decide/ratelimit/spread.go
@@ -66,7 +66,7 @@
 		}
 		box := &outbox{to: vm}
 		for id, k := range s.known {
-			if k.limit.Named {
+			if k.limit.Declared {
 				box.add(id)
 			}
 		}
--- a/decide/ratelimit/state.go
+++ b/decide/ratelimit/state.go
@@ -144,6 +144,6 @@
 }
 
 // Limited reports whether an upstream names a limit.
-func (s *State) Limited(upstream vaneyoke.UpstreamID) bool { return s.limitOf(upstream).Named }
+func (s *State) Limited(upstream vaneyoke.UpstreamID) bool { return s.limitOf(upstream).Declared }
 
 func (s *State) do(e Effect) { s.effects = append(s.effects, e) }
--- a/decide/ratelimit/state_test.go
+++ b/decide/ratelimit/state_test.go
@@ -40,7 +40,7 @@
 
 // answered has the upstream name a limit in its answer to a request that was sent a while ago; a rate below 0 stands for none.
 func (p *pair) answered(rate vaneyoke.PerSecond, sent time.Duration) []ratelimit.Effect {
-	limit := vaneyoke.Limit{Named: rate >= 0, Rate: max(rate, 0)}
+	limit := vaneyoke.Limit{Declared: rate >= 0, Rate: max(rate, 0)}
 	return p.handle(ratelimit.Answered{Upstream: vaneyoke.Upstream{ID: "u", Incarnation: 5}, Limit: limit, SentAt: p.now.Add(-sent)})
 }
 
@@ -115,7 +115,7 @@
 	must.False(t, p.state.Limited("u"))
 	told := func(age time.Duration, incarnation vaneyoke.Incarnation) bool {
 		p.handle(ratelimit.Told{From: "vm1", Notices: []ratelimit.Notice{{
-			Upstream: "u", Incarnation: incarnation, Limit: vaneyoke.Limit{Named: true, Rate: 1}, AgeMs: age.Milliseconds(),
+			Upstream: "u", Incarnation: incarnation, Limit: vaneyoke.Limit{Declared: true, Rate: 1}, AgeMs: age.Milliseconds(),
 		}}})
 		return p.state.Limited("u")
 	}
@@ -245,7 +245,7 @@
 	for i := range 20 * 690 {
 		p.now = began.Add(time.Duration(i) * 20 * time.Second / (20 * 690))
 		count(p.handle(ratelimit.Told{From: "vm1", Notices: []ratelimit.Notice{{
-			Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", i%690)), Limit: vaneyoke.Limit{Named: true, Rate: vaneyoke.PerSecond(i + 1)},
+			Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", i%690)), Limit: vaneyoke.Limit{Declared: true, Rate: vaneyoke.PerSecond(i + 1)},
 		}}}))
 		if at := p.state.Next(); !at.IsZero() && !p.now.Before(at) {
 			count(p.handle(ratelimit.Tick{}))
--- a/decide/ratelimit/world_test.go
+++ b/decide/ratelimit/world_test.go
@@ -309,7 +309,7 @@
 
 // name has an upstream name a limit from now on.
 func (w *world) name(u *upstream, rate vaneyoke.PerSecond) {
-	u.limits = append(u.limits, change{w.now, vaneyoke.Limit{Named: true, Rate: rate}})
+	u.limits = append(u.limits, change{w.now, vaneyoke.Limit{Declared: true, Rate: rate}})
 }
 
 // end has an upstream name no limit any more.
--- a/doc.go
+++ b/doc.go
@@ -1,2 +1,2 @@
-// Package vaneyoke holds the types that every other package speaks: ids, upstreams, requests, token batches and result codes.
+// Package vaneyoke defines the types that all other packages share: ids, upstreams, requests, token batches and result codes.
 package vaneyoke
--- a/errors.go
+++ b/errors.go
@@ -12,12 +12,12 @@
 	locationField   = "location"
 )
 
-// Err returns an error with a result code and a message for people.
+// Err returns an error with a result code and a human-readable message.
 func Err(code Code, format string, args ...any) error {
 	return oops.Code(code).Errorf(format, args...)
 }
 
-// ErrRetryAfter returns an error that tells the caller when to come back.
+// ErrRetryAfter returns an error that tells the caller how long to wait before it retries.
 func ErrRetryAfter(code Code, after time.Duration, format string, args ...any) error {
 	return oops.Code(code).With(retryAfterField, after).Errorf(format, args...)
 }
@@ -27,12 +27,12 @@
 	return oops.Code(code).With(locationField, field).Errorf(format, args...)
 }
 
-// WrapErr gives err a message and, where it has none yet, a result code; nil stays nil.
+// WrapErr adds a message to err and, if err has none yet, a result code. It returns nil for a nil err.
 func WrapErr(code Code, err error, format string, args ...any) error {
 	return oops.Code(code).Wrapf(err, format, args...)
 }
 
-// CodeOf returns the result code that err carries, CodeOK for nil and CodeInternal for an error without one.
+// CodeOf returns the result code of err, CodeOK for nil and CodeInternal for an error without one.
 func CodeOf(err error) Code {
 	if err == nil {
 		return CodeOK
@@ -45,7 +45,7 @@
 	return CodeInternal
 }
 
-// RetryAfterOf returns when the caller should come back, or 0 where err does not say.
+// RetryAfterOf returns how long the caller should wait before it retries, or 0 if err does not say.
 func RetryAfterOf(err error) time.Duration {
 	e, ok := errors.AsType[oops.OopsError](err)
 	if !ok {
@@ -65,7 +65,7 @@
 	return field
 }
 
-// ExitStatus returns the exit status of a command that ended with err; an error without a result code is one of the command line.
+// ExitStatus returns the exit status of a command that ended with err; an error without a result code counts as a usage error.
 func ExitStatus(err error) int {
 	code := CodeOf(err)
 	if code == CodeInternal {
--- a/fields.go
+++ b/fields.go
@@ -5,13 +5,13 @@
 	"maps"
 )
 
-// Fields is a JSON object whose members keep the exact form in which they came.
+// Fields is a JSON object whose members keep their original encoding.
 type Fields map[string]json.RawMessage
 
-// Clone returns a copy that can be changed without changing f.
+// Clone returns a shallow copy of f.
 func (f Fields) Clone() Fields { return maps.Clone(f) }
 
-// Set stores the JSON form of v, which must be a type that always encodes.
+// Set stores the JSON encoding of v; it panics if v cannot be encoded.
 func (f Fields) Set(name string, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/ids.go
+++ b/ids.go
@@ -2,37 +2,37 @@
 
 import "fmt"
 
-// RequestID names one request of a caller; it is unique across the fleet.
+// RequestID identifies a caller's request; it is unique across the fleet.
 type RequestID string
 
-// WorkspaceID names a workspace, the customer that a request is accounted to.
+// WorkspaceID identifies a workspace, the customer to which a request is accounted.
 type WorkspaceID string
 
-// UpstreamID names an upstream, an engine or a service.
+// UpstreamID identifies an upstream, which is an engine or a service.
 type UpstreamID string
 
-// ModelID names a model as callers write it.
+// ModelID is a model's name in callers' requests.
 type ModelID string
 
-// ServiceID names a plain service as callers write it.
+// ServiceID is a plain service's name in callers' requests.
 type ServiceID string
 
-// SoftwareVersion names the version of the software that an upstream runs.
+// SoftwareVersion is the version of the software that an upstream runs.
 type SoftwareVersion string
 
-// RouteID names a route of the configuration.
+// RouteID identifies a route of the configuration.
 type RouteID string
 
-// VMID names a virtual machine on the platform's list of VMs.
+// VMID identifies a virtual machine in the platform's list of VMs.
 type VMID string
 
-// DataCentreID names the data centre that a VM stands in.
+// DataCentreID identifies the data centre that hosts a VM.
 type DataCentreID string
 
-// Incarnation tells one start of a process from the next; a later start has a higher one.
+// Incarnation distinguishes the starts of a process; a later start has a higher number.
 type Incarnation uint64
 
-// NodeID names one incarnation of the node on a VM.
+// NodeID identifies one incarnation of the node on a VM.
 type NodeID struct {
 	VM          VMID
 	Incarnation Incarnation
@@ -41,8 +41,8 @@
 // String returns the id as vm/incarnation.
 func (n NodeID) String() string { return fmt.Sprintf("%s/%d", n.VM, n.Incarnation) }
 
-// Attempt numbers the runs of one generation from 1; a later run has a higher number.
+// Attempt numbers the runs of one generation, starting at 1.
 type Attempt int
 
-// Revision numbers the accepted changes of the fleet's configuration; it only rises.
+// Revision numbers the accepted changes of the fleet's configuration; it increases monotonically.
 type Revision uint64
--- a/layout_test.go
+++ b/layout_test.go
@@ -10,17 +10,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// layoutRow is a row of README's table of folders: the folder, its job and its packages.
+// layoutRow matches a row of the table of folders in README.md: the folder, its purpose and its packages.
 var layoutRow = regexp.MustCompile("(?m)^\\| `([a-z]+)/` \\| [^|]+ \\| (`[^|]+`) \\|$")
 
-// TestLayoutIsTold holds README's table of folders against the packages that stand there.
-func TestLayoutIsTold(t *testing.T) {
+// TestREADMEListsPackages compares the table of folders in README.md with the packages that exist.
+func TestREADMEListsPackages(t *testing.T) {
 	text, err := os.ReadFile("README.md")
 	must.NoError(t, err)
 	rows := layoutRow.FindAllStringSubmatch(string(text), -1)
 	must.Len(t, 8, rows)
 	for _, row := range rows {
-		told := regexp.MustCompile("[a-z]+").FindAllString(row[2], -1)
+		listed := regexp.MustCompile("[a-z]+").FindAllString(row[2], -1)
 		var found []string
 		for _, pattern := range []string{"doc.go", "*/doc.go", "main.go", "*/main.go"} {
 			files, err := filepath.Glob(filepath.Join(row[1], pattern))
@@ -29,8 +29,8 @@
 				found = append(found, filepath.Base(filepath.Dir(file)))
 			}
 		}
-		slices.Sort(told)
+		slices.Sort(listed)
 		slices.Sort(found)
-		must.Eq(t, slices.Compact(found), told, must.Sprint(row[1]))
+		must.Eq(t, slices.Compact(found), listed, must.Sprint(row[1]))
 	}
 }
--- a/rate.go
+++ b/rate.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// PerSecond is a rate in requests a second.
+// PerSecond is a rate in requests per second.
 type PerSecond float64
 
 // String returns the rate as a decimal number.
 func (r PerSecond) String() string { return strconv.FormatFloat(float64(r), 'f', -1, 64) }
 
-// Limit is how many requests an upstream takes from all nodes together; the zero value is that of one which names none.
+// Limit is the request rate that an upstream accepts from all nodes together; the zero value means that the upstream declares no limit.
 type Limit struct {
-	Named bool      `json:"named"`
-	Rate  PerSecond `json:"rate"`
+	Declared bool      `json:"named"`
+	Rate     PerSecond `json:"rate"`
 }
--- a/shell/balancer/balancer.go
+++ b/shell/balancer/balancer.go
@@ -225,7 +225,7 @@
 }
 
 // Reported notes what an upstream told of its work.
-func (b *Balancer) Reported(id vaneyoke.UpstreamID, report vaneyoke.Report) {
+func (b *Balancer) Reported(id vaneyoke.UpstreamID, report vaneyoke.LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.Reported(time.Now(), id, report)
--- a/shell/mesh/fit_test.go
+++ b/shell/mesh/fit_test.go
@@ -41,7 +41,7 @@
 	}
 	var notices []ratelimit.Notice
 	for i := range limits {
-		notices = append(notices, ratelimit.Notice{Upstream: vaneyoke.UpstreamID(fmt.Sprintf("%0200d", i)), Limit: vaneyoke.Limit{Named: true, Rate: 2.8}})
+		notices = append(notices, ratelimit.Notice{Upstream: vaneyoke.UpstreamID(fmt.Sprintf("%0200d", i)), Limit: vaneyoke.Limit{Declared: true, Rate: 2.8}})
 	}
 	heard, named := 0, 0
 	other := bareNode()
--- a/shell/ratelimits/account.go
+++ b/shell/ratelimits/account.go
@@ -59,11 +59,11 @@
 	defer a.mu.Unlock()
 	s := a.limited[upstream]
 	switch {
-	case s == nil && !limit.Named:
+	case s == nil && !limit.Declared:
 	case s == nil:
 		a.limited[upstream] = &sent{limit: limit, since: now}
 		a.metrics.counts.Add("named_total", 1)
-	case !limit.Named:
+	case !limit.Declared:
 		a.tell(now, upstream, s)
 		delete(a.limited, upstream)
 		a.metrics.counts.Add("ended_total", 1)
--- a/shell/ratelimits/account_test.go
+++ b/shell/ratelimits/account_test.go
@@ -23,7 +23,7 @@
 	vars := new(expvar.Map).Init()
 	a := ratelimits.NewAccount(ratelimits.NewMetrics(vars), log)
 	now := time.Unix(1000, 0)
-	limit := func(rate vaneyoke.PerSecond) vaneyoke.Limit { return vaneyoke.Limit{Named: true, Rate: rate} }
+	limit := func(rate vaneyoke.PerSecond) vaneyoke.Limit { return vaneyoke.Limit{Declared: true, Rate: rate} }
 	a.Sending(now, "u1", forward.KindFirst) // nothing is known of it yet
 	a.Named(now, "u1", vaneyoke.Limit{})
 	a.Named(now, "u1", limit(2.8))
--- a/shell/ratelimits/node.go
+++ b/shell/ratelimits/node.go
@@ -221,7 +221,7 @@
 	n.account.Named(now, e.Notice.Upstream, e.Notice.Limit)
 	n.believe(e.Notice.Upstream, e.Notice.Limit)
 	n.log.WithFields(logrus.Fields{
-		"upstream": e.Notice.Upstream, "incarnation": uint64(e.Notice.Incarnation), "named": e.Notice.Limit.Named, "rate": e.Notice.Limit.Rate,
+		"upstream": e.Notice.Upstream, "incarnation": uint64(e.Notice.Incarnation), "named": e.Notice.Limit.Declared, "rate": e.Notice.Limit.Rate,
 		"age_ms": e.Notice.AgeMs, "peer": e.By,
 	}).Info("limit_named")
 }
--- a/shell/ratelimits/node_test.go
+++ b/shell/ratelimits/node_test.go
@@ -26,7 +26,7 @@
 	var mu sync.Mutex
 	var told []bool
 	n := ratelimits.New("vm-0", "a", deaf{}, deaf{}, func(_ vaneyoke.UpstreamID, limit vaneyoke.Limit) {
-		if limit.Named {
+		if limit.Declared {
 			close(entered)
 			select {
 			case <-over: // the other one went past this one
@@ -37,12 +37,12 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		told = append(told, limit.Named)
+		told = append(told, limit.Declared)
 	}, ratelimits.NewMetrics(new(expvar.Map).Init()), log)
 	defer n.Close()
 	upstream := vaneyoke.Upstream{ID: "u1"}
 	var answers sync.WaitGroup
-	answers.Go(func() { n.Answered(upstream, vaneyoke.Limit{Named: true, Rate: 2.8}, time.Now()) })
+	answers.Go(func() { n.Answered(upstream, vaneyoke.Limit{Declared: true, Rate: 2.8}, time.Now()) })
 	<-entered
 	answers.Go(func() { n.Answered(upstream, vaneyoke.Limit{}, time.Now()) })
 	answers.Wait()
--- a/shell/relay/forwarded.go
+++ b/shell/relay/forwarded.go
@@ -159,7 +159,7 @@
 }
 
 // workOf returns what an upstream does for a run, and how many pieces of its answer it has made.
-func (s *Session) workOf(ctx context.Context, e generation.Ask, upstream vaneyoke.Upstream) (vaneyoke.Work, vaneyoke.Tokens) {
+func (s *Session) workOf(ctx context.Context, e generation.Ask, upstream vaneyoke.Upstream) (vaneyoke.RunState, vaneyoke.Tokens) {
 	if s.relay.mayAsk(ctx, upstream.ID) {
 		return s.relay.sender.Work(ctx, upstream, s.req.ID)
 	}
--- a/shell/relay/forwarded_test.go
+++ b/shell/relay/forwarded_test.go
@@ -49,12 +49,12 @@
 	return vaneyoke.Upstream{ID: id, URL: "http://" + string(id), Incarnation: p.incarnation}, 0, nil
 }
 
-func (*inTurn) Admit(placement.Need)                          {}
-func (*inTurn) Holders(placement.Need) []vaneyoke.Upstream    { return nil }
-func (*inTurn) Homes(placement.Need) []vaneyoke.Upstream      { return nil }
-func (*inTurn) HasRoom(placement.Need) bool                   { return true }
-func (*inTurn) Spares(placement.Need) []vaneyoke.Upstream     { return nil }
-func (*inTurn) Reported(vaneyoke.UpstreamID, vaneyoke.Report) {}
+func (*inTurn) Admit(placement.Need)                              {}
+func (*inTurn) Holders(placement.Need) []vaneyoke.Upstream        { return nil }
+func (*inTurn) Homes(placement.Need) []vaneyoke.Upstream          { return nil }
+func (*inTurn) HasRoom(placement.Need) bool                       { return true }
+func (*inTurn) Spares(placement.Need) []vaneyoke.Upstream         { return nil }
+func (*inTurn) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport) {}
 func (*inTurn) Replica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	return vaneyoke.Upstream{}, false
 }
@@ -95,7 +95,7 @@
 	answers map[vaneyoke.UpstreamID]forward.Exchange
 	waits   map[vaneyoke.UpstreamID]time.Duration       // before the head comes
 	reached bool                                        // whether the first upstream takes connections
-	work    vaneyoke.Work                               // that every upstream says it does
+	work    vaneyoke.RunState                           // that every upstream says it does
 	has     map[vaneyoke.UpstreamID]vaneyoke.UpstreamID // who has the address of an upstream, as far as it says so
 }
 
@@ -107,11 +107,11 @@
 	return nil, &engine.NotSentError{Reason: "nobody there"}
 }
 
-func (*sender) Report(context.Context, vaneyoke.Upstream) (vaneyoke.Report, bool) {
-	return vaneyoke.Report{}, false
+func (*sender) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
+	return vaneyoke.LoadReport{}, false
 }
 func (*sender) Holds(context.Context, vaneyoke.Upstream, []string) bool { return false }
-func (s *sender) Work(context.Context, vaneyoke.Upstream, vaneyoke.RequestID) (vaneyoke.Work, vaneyoke.Tokens) {
+func (s *sender) Work(context.Context, vaneyoke.Upstream, vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
 	return s.work, 0
 }
 func (s *sender) Identity(_ context.Context, u vaneyoke.Upstream, _ string) (vaneyoke.UpstreamID, bool) {
@@ -203,7 +203,7 @@
 			answers: map[vaneyoke.UpstreamID]forward.Exchange{
 				"a": &stubborn{from: "a", delay: 390 * time.Millisecond, events: 5}, // the first one before it is probed
 			},
-			work: vaneyoke.WorkRunning,
+			work: vaneyoke.RunStateRunning,
 		}
 		r := newForwarder(s)
 		now := time.Now()
@@ -296,7 +296,7 @@
 // elsewhere with time left of the goal. One that still has prompts to read is waited for.
 func TestUpstreamThatForgotARunIsLeftWithinTheGoal(t *testing.T) {
 	const goal = 4500 * time.Millisecond
-	for work, head := range map[vaneyoke.Work]string{vaneyoke.WorkNone: "b", vaneyoke.WorkQueued: "a"} {
+	for work, head := range map[vaneyoke.RunState]string{vaneyoke.RunStateNone: "b", vaneyoke.RunStateQueued: "a"} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &sender{
 				answers: map[vaneyoke.UpstreamID]forward.Exchange{
--- a/shell/relay/guard_test.go
+++ b/shell/relay/guard_test.go
@@ -80,8 +80,8 @@
 	return !slices.Contains(d.dead, u.ID)
 }
 
-func (d *dying) Report(context.Context, vaneyoke.Upstream) (vaneyoke.Report, bool) {
-	return vaneyoke.Report{Incarnation: d.born}, true
+func (d *dying) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
+	return vaneyoke.LoadReport{Incarnation: d.born}, true
 }
 
 func ask(t *testing.T, r *relay.Relay, stream bool) *relay.Session {
@@ -202,7 +202,7 @@
 // the time that no clock of the node has counted.
 func TestSuspendedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &dying{sender: sender{reached: true, waits: map[vaneyoke.UpstreamID]time.Duration{"a": time.Minute}, answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &stubborn{}}, work: vaneyoke.WorkQueued}}
+		s := &dying{sender: sender{reached: true, waits: map[vaneyoke.UpstreamID]time.Duration{"a": time.Minute}, answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &stubborn{}}, work: vaneyoke.RunStateQueued}}
 		r := newForwarderWith(s, &guarded{})
 		began := time.Now()
 		session := ask(t, r, true) // for a minute
--- a/shell/relay/limited.go
+++ b/shell/relay/limited.go
@@ -85,12 +85,12 @@
 
 // workWithin returns what an upstream does for a run by less than a question, where its limit or a pushback leaves none: one that takes connections
 // is taken to work on it.
-func (s *Session) workWithin(e generation.Ask, upstream vaneyoke.Upstream) (vaneyoke.Work, vaneyoke.Tokens) {
+func (s *Session) workWithin(e generation.Ask, upstream vaneyoke.Upstream) (vaneyoke.RunState, vaneyoke.Tokens) {
 	if !s.relay.isThere(s.ctx, upstream) {
-		return vaneyoke.WorkUnknown, 0
+		return vaneyoke.RunStateUnknown, 0
 	}
 	if !e.Begun {
-		return vaneyoke.WorkQueued, 0
+		return vaneyoke.RunStateQueued, 0
 	}
-	return vaneyoke.WorkRunning, 0
+	return vaneyoke.RunStateRunning, 0
 }
--- a/shell/relay/limited_test.go
+++ b/shell/relay/limited_test.go
@@ -54,7 +54,7 @@
 	questions atomic.Int32
 }
 
-func (c *counted) Work(ctx context.Context, u vaneyoke.Upstream, id vaneyoke.RequestID) (vaneyoke.Work, vaneyoke.Tokens) {
+func (c *counted) Work(ctx context.Context, u vaneyoke.Upstream, id vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
 	c.questions.Add(1)
 	return c.sender.Work(ctx, u, id)
 }
@@ -126,7 +126,7 @@
 	for permits, questions := range map[int]int32{1: 0, 2: 1, 100: 5} { // one is for the attempt
 		synctest.Test(t, func(t *testing.T) {
 			s := &counted{sender: sender{
-				answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &stubborn{from: "a", events: 1}}, reached: true, work: vaneyoke.WorkQueued,
+				answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &stubborn{from: "a", events: 1}}, reached: true, work: vaneyoke.RunStateQueued,
 				waits: map[vaneyoke.UpstreamID]time.Duration{"a": 7 * time.Second},
 			}}
 			placer := &rationed{permits: map[vaneyoke.UpstreamID]int{"a": permits}}
--- a/shell/relay/relay.go
+++ b/shell/relay/relay.go
@@ -40,7 +40,7 @@
 	// HasRoom reports whether an upstream that may get a prompt has room for it, as far as upstreams told of their memory.
 	HasRoom(need placement.Need) bool
 	// Reported notes what an upstream told of its work.
-	Reported(id vaneyoke.UpstreamID, report vaneyoke.Report)
+	Reported(id vaneyoke.UpstreamID, report vaneyoke.LoadReport)
 	// Replica returns an upstream that can keep a replica of a run on another; ok is false where there is none.
 	Replica(need placement.Need, primary vaneyoke.Upstream) (replica vaneyoke.Upstream, ok bool)
 	// Released notes that a replica is needed no more.
--- a/token.go
+++ b/token.go
@@ -6,12 +6,12 @@
 // Tokens is a count of tokens.
 type Tokens int
 
-// Batch is a run of tokens that an engine sent together with the text they stand for.
+// Batch is a sequence of tokens that an engine sent in one event, with their text.
 type Batch struct {
-	First Tokens    // index within the answer of the first token
+	First Tokens    // index of the first token within the answer
 	IDs   []TokenID // one id for each token
-	Text  []byte    // text of the whole batch; empty while the engine holds back an unfinished character
+	Text  []byte    // text of the whole batch; empty while the engine holds back an incomplete UTF-8 character
 }
 
-// End returns the index after the batch's last token.
+// End returns the index after the last token of the batch.
 func (b Batch) End() Tokens { return b.First + Tokens(len(b.IDs)) }
--- a/upstream.go
+++ b/upstream.go
@@ -1,6 +1,6 @@
 package vaneyoke
 
-// UpstreamKind tells engines from plain services.
+// UpstreamKind distinguishes engines from plain services.
 type UpstreamKind string
 
 // The kinds of upstream.
@@ -9,7 +9,7 @@
 	KindService UpstreamKind = "service"
 )
 
-// UpstreamState says whether an upstream takes new work.
+// UpstreamState says whether an upstream accepts new work.
 type UpstreamState string
 
 // The states of an upstream.
@@ -26,13 +26,13 @@
 	VM         VMID          `json:"vm"`
 	DataCentre DataCentreID  `json:"data_centre"`
 	State      UpstreamState `json:"state"`
-	Models     []ModelID     `json:"models,omitempty"`  // what an engine has loaded
-	Service    ServiceID     `json:"service,omitempty"` // what a service offers
-	Slots      int           `json:"slots,omitempty"`   // generations run at once before the engine queues
-	// Version is that of the software which the upstream runs; "" where it is not known.
+	Models     []ModelID     `json:"models,omitempty"`  // models that an engine has loaded
+	Service    ServiceID     `json:"service,omitempty"` // service that the upstream offers
+	Slots      int           `json:"slots,omitempty"`   // concurrent generations before the engine queues
+	// Version is the version of the upstream's software; "" if unknown.
 	Version SoftwareVersion `json:"version,omitempty"`
-	// Preemptible says whether it may be taken away at any time, with little notice.
+	// Preemptible says whether the platform may reclaim the upstream at any time, at short notice.
 	Preemptible bool `json:"preemptible,omitempty"`
-	// Incarnation tells its lives apart, since a later one may have the same id; 0 where it is not known.
+	// Incarnation distinguishes restarts of the upstream, which may keep its id; 0 if unknown.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
 }
--- a/wire/forward/forward.go
+++ b/wire/forward/forward.go
@@ -109,10 +109,10 @@
 type Sender interface {
 	Send(ctx context.Context, attempt *Attempt) (Exchange, error)
 	// Report returns what an upstream tells of its work; ok is false where it does not say.
-	Report(ctx context.Context, upstream vaneyoke.Upstream) (report vaneyoke.Report, ok bool)
+	Report(ctx context.Context, upstream vaneyoke.Upstream) (report vaneyoke.LoadReport, ok bool)
 	// Work returns what an upstream does for a request, as of a short while ago, and how many pieces of its answer it has
 	// made.
-	Work(ctx context.Context, upstream vaneyoke.Upstream, request vaneyoke.RequestID) (vaneyoke.Work, vaneyoke.Tokens)
+	Work(ctx context.Context, upstream vaneyoke.Upstream, request vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens)
 	// Holds reports whether an upstream keeps all parts of a prompt, so that it need not be read again there.
 	Holds(ctx context.Context, upstream vaneyoke.Upstream, parts []string) bool
 	// Identity returns the id of the upstream that has an address, by what it answers on its health path; ok is false where it
--- a/workspace.go
+++ b/workspace.go
@@ -1,12 +1,12 @@
 package vaneyoke
 
-// KeyHash is the hex SHA-256 of a caller's key; the key itself is never kept.
+// KeyHash is the hex SHA-256 of a caller's key; the key itself is never stored.
 type KeyHash string
 
-// Role says what the holder of a key may do.
+// Role defines what the holder of a key may do.
 type Role string
 
-// The roles, from the least to the most allowed.
+// The roles, in order of increasing privilege.
 const (
 	RoleCaller        Role = "caller"
 	RoleViewer        Role = "viewer"
@@ -18,22 +18,22 @@
 type Key struct {
 	Hash KeyHash `json:"hash"`
 	Role Role    `json:"role"`
-	// Scope holds the workspaces that an operator's rights are bound to; nil for all.
+	// Scope lists the workspaces to which an operator's rights are limited; nil for all.
 	Scope []WorkspaceID `json:"scope,omitempty"`
 }
 
-// Workspace is a customer of the fleet, with the keys that speak for it.
+// Workspace is a customer of the fleet, with its API keys.
 type Workspace struct {
 	ID       WorkspaceID `json:"id"`
 	Keys     []Key       `json:"keys"`
 	Recovery Recovery    `json:"recovery"`
 }
 
-// Recovery weighs what a lost attempt may cost.
+// Recovery selects the trade-off between resume latency and extra work when an attempt is lost.
 type Recovery string
 
 // The recovery settings that a workspace chooses between.
 const (
-	RecoverFast   Recovery = "fast"   // spends extra work on a shorter resume latency
-	RecoverFrugal Recovery = "frugal" // waits longer and spends no extra work
+	RecoverFast   Recovery = "fast"   // spends extra work for a shorter resume latency
+	RecoverFrugal Recovery = "frugal" // waits longer and does no extra work
 )
