--- a/api/gateway/stopping_test.go
+++ b/api/gateway/stopping_test.go
@@ -66,11 +66,11 @@
 		route route.Route
 		want  time.Duration
 	}{
-		"may run once":              {route.Route{Kind: route.KindOnce, Goal: goal}, longest},
-		"repeatable":                {route.Route{Kind: route.KindRepeatable, Goal: goal}, 3 * goal},
+		"may run once":              {route.Route{Kind: route.KindOnce, LatencyGoal: goal}, longest},
+		"repeatable":                {route.Route{Kind: route.KindRepeatable, LatencyGoal: goal}, 3 * goal},
 		"repeatable without a goal": {route.Route{Kind: route.KindRepeatable}, longest},
-		"repeatable, soon due":      {route.Route{Kind: route.KindRepeatable, Goal: longest}, longest},
-		"stream":                    {route.Route{Kind: route.KindStream, Goal: goal, Resumable: true}, longest},
+		"repeatable, soon due":      {route.Route{Kind: route.KindRepeatable, LatencyGoal: longest}, longest},
+		"stream":                    {route.Route{Kind: route.KindStream, LatencyGoal: goal, Resumable: true}, longest},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) { must.EqOp(t, tc.want, needed(&tc.route, longest)) })
--- a/decide/route/doc.go
+++ b/decide/route/doc.go
@@ -1,2 +1,2 @@
-// Package route decides, without I/O, which route a request takes, which service answers it and who sent it.
+// Package route maps a request to its route, its service and the workspace that sent it, without I/O.
 package route
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -6,17 +6,17 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Kind says how often a request of a route may run and what its answer looks like.
+// Kind determines how often a request of a route may run and the form of its answer.
 type Kind int
 
 // The kinds of request.
 const (
 	KindOnce       Kind = iota + 1 // runs at most once for each request
 	KindRepeatable                 // may run more than once
-	KindStream                     // is answered by numbered events
+	KindStream                     // is answered by a stream of numbered events
 )
 
-// String returns the kind as it stands in logs.
+// String returns the kind as written to logs.
 func (k Kind) String() string {
 	switch k {
 	case KindOnce:
@@ -30,26 +30,26 @@
 	}
 }
 
-// Target is a service that a route leads to, and its weight among the others.
+// Target is a service to which a route sends requests, and its relative weight.
 type Target struct {
 	Service vaneyoke.ServiceID
 	Weight  int
 }
 
-// Route says what becomes of the requests for the paths under a prefix of a host.
+// Route defines the handling of requests whose path on a host begins with a prefix.
 type Route struct {
-	ID          vaneyoke.RouteID
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Kind        Kind
-	Resumable   bool          // whether another upstream can go on with a stream
-	Timeout     time.Duration // longest time that a request may be held; 0 for no bound
-	Goal        time.Duration // time to the answer, or to a stream's first event, that is aimed at
-	Pause       time.Duration // pause between a stream's events that is aimed at
-	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // upstreams that a request may be sent to; 0 stands for 1
-	Public      bool          // whether a request needs no key
-	Targets     []Target
+	ID                vaneyoke.RouteID
+	Host              string
+	Prefix            string // begins and ends with a slash
+	Kind              Kind
+	Resumable         bool          // whether another upstream can resume a stream
+	Timeout           time.Duration // maximum duration of a request; 0 for no limit
+	LatencyGoal       time.Duration // target time to the answer, or to the first event of a stream
+	EventIntervalGoal time.Duration // target interval between the events of a stream
+	Priority          int           // 0 is the most urgent
+	MaxAttempts       int           // maximum number of upstreams to which a request is sent; 0 means 1
+	Public            bool          // whether requests are accepted without a key
+	Targets           []Target
 }
 
 // Repeatable reports whether a request may run more than once.
@@ -57,18 +57,18 @@
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Service returns the target at a point, from 0 up to but not including 1, of the targets' weights.
-func (r *Route) Service(point float64) vaneyoke.ServiceID {
+// ServiceAt returns the service at a point in [0, 1) of the targets' cumulative weights; a random point gives a weighted choice.
+func (r *Route) ServiceAt(point float64) vaneyoke.ServiceID {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	left := int(point * float64(total))
+	remaining := int(point * float64(total))
 	for _, t := range r.Targets {
-		if left < t.Weight {
+		if remaining < t.Weight {
 			return t.Service
 		}
-		left -= t.Weight
+		remaining -= t.Weight
 	}
 	if len(r.Targets) == 0 {
 		return ""
@@ -76,22 +76,22 @@
 	return r.Targets[0].Service
 }
 
-// Service says what a service's upstreams can do.
+// Service describes the capabilities of a service's upstreams.
 type Service struct {
-	ID          vaneyoke.ServiceID
-	Connections int    // connections that an upstream takes from all nodes together; 0 where unknown
-	Replicas    bool   // whether an upstream can keep a copy of another's run
-	Health      string // path on which an upstream tells who it is; "" where it does not
+	ID             vaneyoke.ServiceID
+	MaxConnections int    // connections that an upstream accepts from all nodes together; 0 if unknown
+	Replicas       bool   // whether an upstream can hold a replica of another's run
+	HealthPath     string // path at which an upstream reports its identity; "" if it does not
 }
 
-// Workspace is a customer and the keys that speak for it.
+// Workspace is a customer and its API keys.
 type Workspace struct {
 	ID       vaneyoke.WorkspaceID
 	Keys     []string
-	Priority *int // goes before the route's; nil where there is none
+	Priority *int // takes precedence over the route's; nil for none
 }
 
-// Limits bounds what callers may send.
+// Limits holds the limits on callers' requests.
 type Limits struct {
-	BodyBytes int64 // 0 for no bound
+	BodyBytes int64 // maximum size of a body; 0 for no limit
 }
--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -6,25 +6,25 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Table is one version of the configuration; it does not change.
+// Table is an immutable version of the configuration.
 type Table struct {
-	version    vaneyoke.Revision
-	limits     Limits
-	byHost     map[string][]Route
-	services   map[vaneyoke.ServiceID]Service
-	workspaces map[string]Workspace // by key
-	keyed      bool                 // whether requests need a key
+	version     vaneyoke.Revision
+	limits      Limits
+	byHost      map[string][]Route
+	services    map[vaneyoke.ServiceID]Service
+	workspaces  map[string]Workspace // by key
+	requiresKey bool                 // false if there are no workspaces; requests then need no key
 }
 
-// NewTable returns a table of the given routes, services, workspaces and limits.
+// NewTable returns the table of the given routes, services, workspaces and limits.
 func NewTable(version vaneyoke.Revision, routes []Route, services []Service, workspaces []Workspace, limits Limits) *Table {
 	t := &Table{
-		version:    version,
-		limits:     limits,
-		byHost:     map[string][]Route{},
-		services:   map[vaneyoke.ServiceID]Service{},
-		workspaces: map[string]Workspace{},
-		keyed:      len(workspaces) > 0,
+		version:     version,
+		limits:      limits,
+		byHost:      map[string][]Route{},
+		services:    map[vaneyoke.ServiceID]Service{},
+		workspaces:  map[string]Workspace{},
+		requiresKey: len(workspaces) > 0,
 	}
 	for _, r := range routes {
 		host := canonicalHost(r.Host)
@@ -41,13 +41,13 @@
 	return t
 }
 
-// Version returns the number of the configuration; a later one is higher.
+// Version returns the revision of the configuration; a later one is higher.
 func (t *Table) Version() vaneyoke.Revision { return t.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Find returns the route of a host whose prefix is the longest that begins the path.
+// Find returns the route of a host with the longest prefix of the path.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	var found *Route
 	routes := t.byHost[canonicalHost(host)]
@@ -60,7 +60,7 @@
 	return found, found != nil
 }
 
-// canonicalHost returns a host name in lower case and without a port.
+// canonicalHost returns a host name in lower case without its port.
 func canonicalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -68,7 +68,7 @@
 	return strings.ToLower(host)
 }
 
-// Service returns what is known of a service.
+// Service returns the description of a service; for an unknown one, only the id is set.
 func (t *Table) Service(id vaneyoke.ServiceID) Service {
 	if s, ok := t.services[id]; ok {
 		return s
@@ -76,14 +76,14 @@
 	return Service{ID: id}
 }
 
-// Workspace returns the workspace that a request on a route is accounted to.
-// An error carries CodeNoKey or CodeUnknownKey; a public route takes any key and none.
+// Workspace returns the workspace to which a request on a route is accounted.
+// An error carries CodeNoKey or CodeUnknownKey; a public route accepts any key, and requests without one.
 func (t *Table) Workspace(r *Route, key string) (Workspace, error) {
 	if w, ok := t.workspaces[key]; ok {
 		return w, nil
 	}
 	switch {
-	case r.Public || !t.keyed:
+	case r.Public || !t.requiresKey:
 		return Workspace{}, nil
 	case key == "":
 		return Workspace{}, vaneyoke.Err(vaneyoke.CodeNoKey, "the request carries no key")
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -16,7 +16,7 @@
 		{ID: "other", Host: "yard.example", Prefix: "/a/"},
 	}
 	workspaces := []route.Workspace{{ID: "weavers", Keys: []string{"k1", "k2"}}}
-	return route.NewTable(3, routes, []route.Service{{ID: "one", Connections: 7}}, workspaces, route.Limits{BodyBytes: 9})
+	return route.NewTable(3, routes, []route.Service{{ID: "one", MaxConnections: 7}}, workspaces, route.Limits{BodyBytes: 9})
 }
 
 func TestFind(t *testing.T) {
@@ -24,18 +24,18 @@
 		host, path string
 		want       vaneyoke.RouteID // "" for none
 	}{
-		"prefix":               {"stall.example", "/a/x", "short"},
-		"longest prefix":       {"stall.example", "/a/b/x", "long"},
-		"the prefix itself":    {"stall.example", "/a/b/", "long"},
-		"part of a name":       {"stall.example", "/a/bc", "short"},
-		"without its slash":    {"stall.example", "/a", ""},
-		"other host":           {"yard.example", "/a/b/x", "other"},
-		"host with port":       {"stall.example:8080", "/a/x", "short"},
-		"host in capitals":     {"STALL.example", "/a/x", "short"},
-		"unknown host":         {"barn.example", "/a/x", ""},
-		"host within another":  {"all.example", "/a/x", ""},
-		"unknown path":         {"stall.example", "/", ""},
-		"path that climbs out": {"stall.example", "/b/../a/x", ""},
+		"prefix":              {"stall.example", "/a/x", "short"},
+		"longest prefix":      {"stall.example", "/a/b/x", "long"},
+		"the prefix itself":   {"stall.example", "/a/b/", "long"},
+		"part of a name":      {"stall.example", "/a/bc", "short"},
+		"without its slash":   {"stall.example", "/a", ""},
+		"other host":          {"yard.example", "/a/b/x", "other"},
+		"host with port":      {"stall.example:8080", "/a/x", "short"},
+		"host in capitals":    {"STALL.example", "/a/x", "short"},
+		"unknown host":        {"barn.example", "/a/x", ""},
+		"host within another": {"all.example", "/a/x", ""},
+		"unknown path":        {"stall.example", "/", ""},
+		"path with dot-dot":   {"stall.example", "/b/../a/x", ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -78,18 +78,18 @@
 	must.NoError(t, err)
 }
 
-func TestWeightsSplitARoute(t *testing.T) {
+func TestServiceAtFollowsWeights(t *testing.T) {
 	r := route.Route{Targets: []route.Target{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}}
 	counts := map[vaneyoke.ServiceID]int{}
 	for i := range 1000 {
-		counts[r.Service(float64(i)/1000)]++
+		counts[r.ServiceAt(float64(i)/1000)]++
 	}
 	must.Eq(t, map[vaneyoke.ServiceID]int{"a": 900, "b": 100}, counts)
-	must.EqOp(t, "a", (&route.Route{Targets: []route.Target{{Service: "a"}}}).Service(0.5))
-	must.EqOp(t, "", (&route.Route{}).Service(0.5))
+	must.EqOp(t, "a", (&route.Route{Targets: []route.Target{{Service: "a"}}}).ServiceAt(0.5))
+	must.EqOp(t, "", (&route.Route{}).ServiceAt(0.5))
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestRepeatable(t *testing.T) {
 	must.True(t, (&route.Route{Kind: route.KindRepeatable}).Repeatable())
 	must.True(t, (&route.Route{Kind: route.KindStream, Resumable: true}).Repeatable())
 	must.False(t, (&route.Route{Kind: route.KindStream}).Repeatable())
@@ -97,7 +97,7 @@
 }
 
 func TestServiceAndLimits(t *testing.T) {
-	must.EqOp(t, 7, table().Service("one").Connections)
+	must.EqOp(t, 7, table().Service("one").MaxConnections)
 	must.Eq(t, route.Service{ID: "two"}, table().Service("two"))
 	must.EqOp(t, int64(9), table().Limits().BodyBytes)
 	must.EqOp(t, vaneyoke.Revision(3), table().Version())
