--- a/decide/policy/compile.go
+++ b/decide/policy/compile.go
@@ -13,29 +13,29 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Bounds on the cost of a program.
+// Limits on the size of a program, which bound the cost of its evaluation.
 const (
 	maxRules     = 200
-	maxNodes     = 200 // parts of one condition
+	maxNodes     = 200 // syntax nodes of one condition
 	maxTextBytes = 64 << 10
 )
 
-// Policy is a program that was read and checked.
+// Policy is a compiled program.
 type Policy struct {
-	Name       string
-	zone       *time.Location
-	workspaces []string
-	rules      []compiledRule
-	drains     []compiledDrain
-	sizes      bool // whether any rule looks at the prompt's size
+	Name           string
+	zone           *time.Location
+	workspaces     []string
+	rules          []compiledRule
+	drains         []compiledDrain
+	usesPromptSize bool // whether any rule depends on the prompt's size
 }
 
-// Workspaces returns the workspaces that the policy holds for, nil for all.
+// Workspaces returns the workspaces to which the policy applies, nil for all.
 func (p *Policy) Workspaces() []string { return p.workspaces }
 
 type compiledRule struct {
 	rule
-	program *vm.Program // nil where the rule always matches
+	program *vm.Program // nil if the rule always matches
 }
 
 type compiledDrain struct {
@@ -43,96 +43,96 @@
 	program *vm.Program
 }
 
-// Compile reads a program; it returns the policy where there are no problems.
+// Compile parses and compiles a program; it returns either the policy or the program's problems.
 func Compile(text []byte) (*Policy, []Problem) {
 	p := &parser{}
 	if len(text) > maxTextBytes {
-		p.problem(sectionPolicy, "", fmt.Sprintf("is longer than %d bytes", maxTextBytes), "part it in several policies")
+		p.addProblem(sectionPolicy, "", fmt.Sprintf("is longer than %d bytes", maxTextBytes), "split it into several policies")
 		return nil, p.problems
 	}
 	d := p.parse(text)
 	policy := &Policy{Name: d.name, zone: d.zone, workspaces: d.workspaces}
 	if len(d.rules)+len(d.drains) > maxRules {
-		p.problem(sectionPolicy, "", fmt.Sprintf("has more than %d rules", maxRules), "part it in several policies")
+		p.addProblem(sectionPolicy, "", fmt.Sprintf("has more than %d rules", maxRules), "split it into several policies")
 	}
 	for _, r := range d.rules {
-		program, sizes := p.condition(prefixRule+r.name, r.when)
-		policy.sizes = policy.sizes || sizes
+		program, usesSize := p.compileCondition(prefixRule+r.name, r.when)
+		policy.usesPromptSize = policy.usesPromptSize || usesSize
 		policy.rules = append(policy.rules, compiledRule{rule: r, program: program})
 	}
 	for _, dr := range d.drains {
-		program, _ := p.condition(prefixDrain+dr.name, dr.when)
+		program, _ := p.compileCondition(prefixDrain+dr.name, dr.when)
 		policy.drains = append(policy.drains, compiledDrain{drain: dr, program: program})
 	}
-	p.unreachable(policy)
+	p.checkUnreachable(policy)
 	if len(p.problems) > 0 {
 		return nil, p.problems
 	}
 	return policy, nil
 }
 
-// condition compiles the condition of a rule, and reports whether it looks at the prompt's size.
-func (p *parser) condition(section, when string) (*vm.Program, bool) {
-	look := &visitor{}
+// compileCondition compiles the condition of a rule and reports whether it depends on the prompt's size.
+func (p *parser) compileCondition(section, when string) (*vm.Program, bool) {
+	v := &visitor{}
 	program, err := expr.Compile(when,
-		expr.Env(Env{}), expr.AsBool(), expr.DisableAllBuiltins(), expr.EnableBuiltin("lower"), expr.Patch(look),
+		expr.Env(Env{}), expr.AsBool(), expr.DisableAllBuiltins(), expr.EnableBuiltin("lower"), expr.Patch(v),
 	)
 	if err != nil {
 		p.problems = append(p.problems, conditionProblem(section, err))
 		return nil, false
 	}
-	if look.nodes > maxNodes {
-		p.problem(section, "when", fmt.Sprintf("has more than %d parts", maxNodes), "part it in several rules")
+	if v.nodes > maxNodes {
+		p.addProblem(section, "when", fmt.Sprintf("has more than %d parts", maxNodes), "split it into several rules")
 	}
-	switch constant, is := program.Node().(*ast.BoolNode); {
-	case is && !constant.Value:
-		p.problem(section, "when", "is never true", "remove the rule")
-	case is:
+	switch constant, ok := program.Node().(*ast.BoolNode); {
+	case ok && !constant.Value:
+		p.addProblem(section, "when", "is never true", "remove the rule")
+	case ok:
 		return nil, false
 	}
-	return program, look.sizes
+	return program, v.usesPromptSize
 }
 
-// visitor counts the parts of a condition and looks for the prompt's size.
+// visitor counts the syntax nodes of a condition and detects uses of prompt_bytes.
 type visitor struct {
-	nodes int
-	sizes bool
+	nodes          int
+	usesPromptSize bool
 }
 
-// Visit takes in one part.
+// Visit implements ast.Visitor.
 func (v *visitor) Visit(node *ast.Node) {
 	v.nodes++
 	if name, ok := (*node).(*ast.IdentifierNode); ok && name.Value == "prompt_bytes" {
-		v.sizes = true
+		v.usesPromptSize = true
 	}
 }
 
 func conditionProblem(section string, err error) Problem {
 	problem := Problem{Section: section, Key: "when", Message: err.Error()}
-	if at, ok := errors.AsType[*file.Error](err); ok {
-		problem.Message = at.Message
-		problem.Line = at.Line
-		problem.Column = at.Column + 1
+	if fileErr, ok := errors.AsType[*file.Error](err); ok {
+		problem.Message = fileErr.Message
+		problem.Line = fileErr.Line
+		problem.Column = fileErr.Column + 1
 		problem.Hint = "names are workspace, kind, model, service, prompt_bytes, data_centre, clock, hour, weekday, weekend"
 	}
 	return problem
 }
 
-// unreachable looks for rules after one that always matches for the same workspaces.
-func (p *parser) unreachable(policy *Policy) {
+// checkUnreachable reports the rules after one that always matches for every workspace of the policy.
+func (p *parser) checkUnreachable(policy *Policy) {
 	for i, r := range policy.rules {
 		if r.program != nil || len(r.workspaces) > 0 || r.when != "true" {
 			continue
 		}
 		for _, later := range policy.rules[i+1:] {
-			p.problem(prefixRule+later.name, "when", "can never match after [rule."+r.name+"], which always does", "move it up")
+			p.addProblem(prefixRule+later.name, "when", "can never match after [rule."+r.name+"], which always does", "move it up")
 		}
 		return
 	}
 }
 
-// covers reports whether a list of workspaces holds one; an empty list holds all.
-func covers(list []string, workspace string) bool {
+// appliesTo reports whether a list of workspaces includes the given one; an empty list includes all.
+func appliesTo(list []string, workspace string) bool {
 	if len(list) == 0 {
 		return true
 	}
@@ -144,8 +144,8 @@
 	return false
 }
 
-// usable reports whether any upstream belongs to the selectors.
-func usable(order []vaneyoke.Selector, u *vaneyoke.Upstream) bool {
+// matchesAny reports whether any of the selectors matches u; an empty list matches all upstreams.
+func matchesAny(order []vaneyoke.Selector, u *vaneyoke.Upstream) bool {
 	if len(order) == 0 {
 		return true
 	}
--- a/decide/policy/doc.go
+++ b/decide/policy/doc.go
@@ -1,2 +1,2 @@
-// Package policy reads, checks and evaluates the programs by which operators say what runs where, without I/O.
+// Package policy parses, checks and evaluates the policy programs by which operators control where requests run, without I/O.
 package policy
--- a/decide/policy/document.go
+++ b/decide/policy/document.go
@@ -13,14 +13,14 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Section names of a program.
+// Section names and prefixes of a program.
 const (
 	sectionPolicy = "policy"
 	prefixRule    = "rule."
 	prefixDrain   = "drain."
 )
 
-// Problem is one thing that is wrong with a program.
+// Problem is one error in a program.
 type Problem struct {
 	Section string `json:"section"`
 	Key     string `json:"key,omitempty"`
@@ -30,7 +30,7 @@
 	Hint    string `json:"hint,omitempty"`
 }
 
-// String returns the problem in one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	at := "[" + p.Section + "]"
 	if p.Key != "" {
@@ -46,7 +46,7 @@
 	return text
 }
 
-// document is a program as it is written.
+// document is the parsed source of a program.
 type document struct {
 	name       string
 	zone       *time.Location
@@ -55,35 +55,35 @@
 	drains     []drain
 }
 
-// rule is one rule as it is written.
+// rule is the parsed source of a rule.
 type rule struct {
 	name       string
 	when       string
-	workspaces []string // nil for all of the policy's
+	workspaces []string // nil for all workspaces of the policy
 	decision   Decision
 }
 
-// drain is one drain as it is written.
+// drain is the parsed source of a drain.
 type drain struct {
-	name string
-	when string
-	from []vaneyoke.Selector
+	name      string
+	when      string
+	upstreams []vaneyoke.Selector
 }
 
-// parser reads a program and gathers its problems.
+// parser parses a program and collects its problems.
 type parser struct {
 	problems []Problem
 }
 
-func (p *parser) problem(section, key, message, hint string) {
+func (p *parser) addProblem(section, key, message, hint string) {
 	p.problems = append(p.problems, Problem{Section: section, Key: key, Message: message, Hint: hint})
 }
 
-// parse reads the text of a program.
+// parse parses the text of a program.
 func (p *parser) parse(text []byte) document {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
-		p.problem(sectionPolicy, "", "is no INI text: "+err.Error(), "")
+		p.addProblem(sectionPolicy, "", "is not valid INI: "+err.Error(), "")
 		return document{}
 	}
 	d := document{zone: time.UTC}
@@ -92,94 +92,94 @@
 		switch {
 		case name == ini.DefaultSection && len(section.Keys()) == 0:
 		case name == sectionPolicy:
-			p.header(&d, section)
+			p.parseHeader(&d, section)
 		case strings.HasPrefix(name, prefixRule):
-			d.rules = append(d.rules, p.rule(section))
+			d.rules = append(d.rules, p.parseRule(section))
 		case strings.HasPrefix(name, prefixDrain):
-			d.drains = append(d.drains, p.drain(section))
+			d.drains = append(d.drains, p.parseDrain(section))
 		default:
-			p.problem(name, "", "is an unknown section", "sections are [policy], [rule.NAME] and [drain.NAME]")
+			p.addProblem(name, "", "is an unknown section", "sections are [policy], [rule.NAME] and [drain.NAME]")
 		}
 	}
 	if d.name == "" {
-		p.problem(sectionPolicy, "name", "is missing", "")
+		p.addProblem(sectionPolicy, "name", "is missing", "")
 	}
 	return d
 }
 
-func (p *parser) header(d *document, section *ini.Section) {
-	p.known(section, "name", "zone", "workspaces")
+func (p *parser) parseHeader(d *document, section *ini.Section) {
+	p.checkKeys(section, "name", "zone", "workspaces")
 	d.name = section.Key("name").String()
-	d.workspaces = list(section.Key("workspaces").String())
+	d.workspaces = splitList(section.Key("workspaces").String())
 	zone := section.Key("zone").MustString("UTC")
 	location, err := time.LoadLocation(zone)
 	if err != nil {
-		p.problem(sectionPolicy, "zone", "is no time zone: "+zone, "write it as in Europe/London")
+		p.addProblem(sectionPolicy, "zone", "is not a time zone: "+zone, "for example Europe/London")
 		return
 	}
 	d.zone = location
 }
 
-// known looks for keys that a section does not have.
-func (p *parser) known(section *ini.Section, keys ...string) {
+// checkKeys reports keys that are not allowed in a section.
+func (p *parser) checkKeys(section *ini.Section, keys ...string) {
 	for _, key := range section.KeyStrings() {
 		if !slices.Contains(keys, key) {
-			p.problem(section.Name(), key, "is an unknown key", "known are "+strings.Join(keys, ", "))
+			p.addProblem(section.Name(), key, "is an unknown key", "known keys are "+strings.Join(keys, ", "))
 		}
 	}
 }
 
-func (p *parser) rule(section *ini.Section) rule {
-	p.known(section, "when", "workspaces", "upstreams", "wait", "priority", "recovery")
+func (p *parser) parseRule(section *ini.Section) rule {
+	p.checkKeys(section, "when", "workspaces", "upstreams", "wait", "priority", "recovery")
 	r := rule{
 		name:       strings.TrimPrefix(section.Name(), prefixRule),
 		when:       section.Key("when").MustString("true"),
-		workspaces: list(section.Key("workspaces").String()),
+		workspaces: splitList(section.Key("workspaces").String()),
 	}
-	r.decision.Order = selectors(section.Key("upstreams").String())
+	r.decision.Order = splitSelectors(section.Key("upstreams").String())
 	if text := section.Key("wait").String(); text != "" {
 		wait, err := time.ParseDuration(text)
 		if err != nil || wait <= 0 {
-			p.problem(section.Name(), "wait", "must be a duration over 0, got "+text, "write it as in 2s")
+			p.addProblem(section.Name(), "wait", "must be a duration over 0, got "+text, "for example 2s")
 		}
 		r.decision.MaxWait = wait
 	}
 	if text := section.Key("priority").String(); text != "" {
 		priority, err := strconv.Atoi(text)
 		if err != nil {
-			p.problem(section.Name(), "priority", "must be a whole number, got "+text, "lower goes first")
+			p.addProblem(section.Name(), "priority", "must be a whole number, got "+text, "lower goes first")
 		}
 		r.decision.Priority = priority
 	}
-	r.decision.Recovery = p.recovery(section)
+	r.decision.Recovery = p.parseRecovery(section)
 	return r
 }
 
-func (p *parser) recovery(section *ini.Section) vaneyoke.Recovery {
+func (p *parser) parseRecovery(section *ini.Section) vaneyoke.Recovery {
 	switch r := vaneyoke.Recovery(section.Key("recovery").String()); r {
 	case "", vaneyoke.RecoverFast, vaneyoke.RecoverFrugal:
 		return r
 	default:
-		p.problem(section.Name(), "recovery", "must be fast or frugal, got "+string(r), "")
+		p.addProblem(section.Name(), "recovery", "must be fast or frugal, got "+string(r), "")
 		return ""
 	}
 }
 
-func (p *parser) drain(section *ini.Section) drain {
-	p.known(section, "when", "upstreams")
+func (p *parser) parseDrain(section *ini.Section) drain {
+	p.checkKeys(section, "when", "upstreams")
 	d := drain{
-		name: strings.TrimPrefix(section.Name(), prefixDrain),
-		when: section.Key("when").MustString("true"),
-		from: selectors(section.Key("upstreams").String()),
+		name:      strings.TrimPrefix(section.Name(), prefixDrain),
+		when:      section.Key("when").MustString("true"),
+		upstreams: splitSelectors(section.Key("upstreams").String()),
 	}
-	if len(d.from) == 0 {
-		p.problem(section.Name(), "upstreams", "is missing", "name the upstreams to drain")
+	if len(d.upstreams) == 0 {
+		p.addProblem(section.Name(), "upstreams", "is missing", "name the upstreams to drain")
 	}
 	return d
 }
 
-// list parts a value at commas.
-func list(text string) []string {
+// splitList splits a value at commas; a value that is empty or * alone gives nil.
+func splitList(text string) []string {
 	parts := lo.Map(strings.Split(text, ","), func(s string, _ int) string { return strings.TrimSpace(s) })
 	parts = lo.Compact(parts)
 	if len(parts) == 1 && parts[0] == vaneyoke.SelectAll {
@@ -188,7 +188,7 @@
 	return lo.Ternary(len(parts) == 0, nil, parts)
 }
 
-func selectors(text string) []vaneyoke.Selector {
+func splitSelectors(text string) []vaneyoke.Selector {
 	parts := lo.Compact(lo.Map(strings.Split(text, ","), func(s string, _ int) string { return strings.TrimSpace(s) }))
 	return lo.Map(parts, func(s string, _ int) vaneyoke.Selector { return vaneyoke.Selector(s) })
 }
--- a/decide/policy/env.go
+++ b/decide/policy/env.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Env is what the condition of a rule sees; the tags are the names in programs.
+// Env is the environment in which conditions are evaluated; its tags are the names that programs use.
 type Env struct {
 	Workspace   string `expr:"workspace"`    // name of the workspace
-	Kind        string `expr:"kind"`         // kind of request, as the caller names it
+	Kind        string `expr:"kind"`         // kind of request, chosen by the caller
 	Model       string `expr:"model"`        // model, "" for a call to a service
 	Service     string `expr:"service"`      // service, "" for a generation
 	PromptBytes int    `expr:"prompt_bytes"` // size of the prompt as sent
-	DataCentre  string `expr:"data_centre"`  // data centre of the node that decides
+	DataCentre  string `expr:"data_centre"`  // data centre of the node that evaluates the policy
 	Clock       int    `expr:"clock"`        // minutes since midnight in the policy's zone
 	Hour        int    `expr:"hour"`         // hour of the day in the policy's zone
 	Weekday     string `expr:"weekday"`      // mon, tue, wed, thu, fri, sat or sun
@@ -21,7 +21,7 @@
 
 const weekdayLetters = 3
 
-// setTime fills in what depends on the time in a zone.
+// setTime sets the fields that depend on the local time.
 func (e *Env) setTime(local time.Time) {
 	day := local.Weekday()
 	e.Hour = local.Hour()
@@ -30,7 +30,7 @@
 	e.Weekend = day == time.Saturday || day == time.Sunday
 }
 
-// Query is what has to be decided for one request.
+// Query holds the properties of a request that policies depend on.
 type Query struct {
 	Workspace   string
 	Kind        string
--- a/decide/policy/policy_test.go
+++ b/decide/policy/policy_test.go
@@ -17,8 +17,8 @@
 
 var rewrite = flag.Bool("rewrite", false, "rewrite the expected files")
 
-// TestPrograms holds the problems of each program in testdata against the file beside it.
-func TestPrograms(t *testing.T) {
+// TestProgramProblems compares the problems of each program in testdata with its .expected file.
+func TestProgramProblems(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.ini")
 	must.NoError(t, err)
 	must.SliceNotEmpty(t, files)
@@ -64,8 +64,8 @@
 	return p
 }
 
-// TestExamplesOverTheDay goes through shifts over midnight, weekends and both changes of the clock.
-func TestExamplesOverTheDay(t *testing.T) {
+// TestExamplePrograms covers shifts that cross midnight, weekends and both daylight-saving transitions.
+func TestExamplePrograms(t *testing.T) {
 	souk, trentfold := "../../docs/examples/souk.ini", "../../docs/examples/trentfold.ini"
 	cases := map[string]struct {
 		program string
@@ -75,23 +75,23 @@
 		rule    string
 		drained int
 	}{
-		"buyer at noon":               {souk, day(11, 0), "price", 10, "souk-day/lookups", 0},
-		"small catalogue at noon":     {souk, day(11, 0), "catalogue", 10, "souk-day/rest", 0},
-		"large catalogue at noon":     {souk, day(11, 0), "catalogue", 30_000, "souk-day/catalogues-by-day", 0},
-		"catalogue at eight, Tunis":   {souk, day(19, 0), "catalogue", 30_000, "souk-day/catalogues-by-night", 0},
-		"a minute before eight":       {souk, day(18, 59), "catalogue", 30_000, "souk-day/catalogues-by-day", 0},
-		"stalls closed at midnight":   {souk, day(23, 0), "price", 10, "souk-day/lookups", 1},
-		"floor at night":              {trentfold, day(2, 0), "status", 10, "trentfold-shifts/floor", 0},
-		"night shift over midnight":   {trentfold, day(23, 30), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
-		"night shift at half nine":    {trentfold, day(20, 30), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
-		"a minute before half nine":   {trentfold, day(20, 29), "manifest", 10, "trentfold-shifts/day-reconciliation", 0},
-		"half nine in winter":         {trentfold, time.Date(2026, 12, 2, 21, 30, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
-		"half eight UTC in winter":    {trentfold, time.Date(2026, 12, 2, 20, 30, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/day-reconciliation", 0},
-		"the hour that comes twice":   {trentfold, time.Date(2026, 10, 25, 1, 15, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
-		"the hour that is left out":   {trentfold, time.Date(2026, 3, 29, 1, 15, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
-		"weekend drain":               {trentfold, time.Date(2026, 7, 18, 13, 0, 0, 0, time.UTC), "status", 10, "trentfold-shifts/floor", 1},
-		"weekend before the drain":    {trentfold, time.Date(2026, 7, 18, 12, 59, 0, 0, time.UTC), "status", 10, "trentfold-shifts/floor", 0},
-		"Sunday late is Monday early": {trentfold, time.Date(2026, 7, 19, 23, 30, 0, 0, time.UTC), "status", 10, "trentfold-shifts/floor", 0},
+		"buyer at noon":              {souk, day(11, 0), "price", 10, "souk-day/lookups", 0},
+		"small catalogue at noon":    {souk, day(11, 0), "catalogue", 10, "souk-day/rest", 0},
+		"large catalogue at noon":    {souk, day(11, 0), "catalogue", 30_000, "souk-day/catalogues-by-day", 0},
+		"catalogue at eight, Tunis":  {souk, day(19, 0), "catalogue", 30_000, "souk-day/catalogues-by-night", 0},
+		"a minute before eight":      {souk, day(18, 59), "catalogue", 30_000, "souk-day/catalogues-by-day", 0},
+		"stalls closed at midnight":  {souk, day(23, 0), "price", 10, "souk-day/lookups", 1},
+		"floor at night":             {trentfold, day(2, 0), "status", 10, "trentfold-shifts/floor", 0},
+		"night shift over midnight":  {trentfold, day(23, 30), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
+		"night shift at half nine":   {trentfold, day(20, 30), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
+		"a minute before half nine":  {trentfold, day(20, 29), "manifest", 10, "trentfold-shifts/day-reconciliation", 0},
+		"half nine in winter":        {trentfold, time.Date(2026, 12, 2, 21, 30, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
+		"half eight UTC in winter":   {trentfold, time.Date(2026, 12, 2, 20, 30, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/day-reconciliation", 0},
+		"repeated hour in autumn":    {trentfold, time.Date(2026, 10, 25, 1, 15, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
+		"skipped hour in spring":     {trentfold, time.Date(2026, 3, 29, 1, 15, 0, 0, time.UTC), "manifest", 10, "trentfold-shifts/night-reconciliation", 0},
+		"weekend drain":              {trentfold, time.Date(2026, 7, 18, 13, 0, 0, 0, time.UTC), "status", 10, "trentfold-shifts/floor", 1},
+		"weekend before the drain":   {trentfold, time.Date(2026, 7, 18, 12, 59, 0, 0, time.UTC), "status", 10, "trentfold-shifts/floor", 0},
+		"Sunday UTC, Monday locally": {trentfold, time.Date(2026, 7, 19, 23, 30, 0, 0, time.UTC), "status", 10, "trentfold-shifts/floor", 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestOwnPolicyGoesBeforeTheGeneralOne(t *testing.T) {
+func TestWorkspacePolicyTakesPrecedence(t *testing.T) {
 	general, _ := policy.Compile([]byte("[policy]\nname = a\n[rule.all]\nwait = 1s\n"))
 	own, _ := policy.Compile([]byte("[policy]\nname = z\nworkspaces = weavers\n[rule.big]\nwhen = prompt_bytes > 100\nwait = 2s\n"))
 	set := policy.NewSet([]*policy.Policy{general, own})
@@ -121,9 +121,9 @@
 	}
 }
 
-// BenchmarkDecide has 100 rules and 5,300 workspaces, as the letter's size needs it.
+// BenchmarkDecide uses the required scale of 100 rules and 5,300 workspaces.
 func BenchmarkDecide(b *testing.B) {
-	set, queries := letterSize()
+	set, queries := requiredScale()
 	now := day(10, 0)
 	i := 0
 	b.ReportAllocs()
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestDecisionAllocations bounds what a remembered decision allocates.
+// TestDecisionAllocations checks that a cached decision allocates nothing.
 func TestDecisionAllocations(t *testing.T) {
-	set, queries := letterSize()
+	set, queries := requiredScale()
 	now := day(10, 0)
 	for _, q := range queries {
 		set.Decide(now, q)
@@ -143,7 +143,7 @@
 	must.EqOp(t, 0, testing.AllocsPerRun(100, func() { set.Decide(now, queries[7]) }))
 }
 
-func letterSize() (*policy.Set, []policy.Query) {
+func requiredScale() (*policy.Set, []policy.Query) {
 	const rules, workspaces = 100, 5300
 	var policies []*policy.Policy
 	for i := range rules {
--- a/decide/policy/set.go
+++ b/decide/policy/set.go
@@ -12,44 +12,45 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// memoEntries bounds the decisions that a set remembers within a minute.
-const memoEntries = 50_000
+// maxCacheEntries bounds the number of decisions that a set caches within a minute.
+const maxCacheEntries = 50_000
 
-// Set is all policies in force, by workspace; it may be used by several goroutines.
+// Set holds all policies in force, indexed by workspace. It is safe for concurrent use.
 type Set struct {
-	policies []*Policy // by name
-	mu       sync.Mutex
-	byName   map[string][]bound // rules of each workspace that a policy names
-	general  []bound            // rules of all other workspaces
-	memo     map[memoKey]Decision
-	minute   int64 // to which the memo belongs
-	failures int
+	policies     []*Policy // sorted by name
+	mu           sync.Mutex
+	byWorkspace  map[string][]policyRule // rules of each workspace that a policy or rule mentions
+	defaultRules []policyRule            // rules of all other workspaces
+	cache        map[cacheKey]Decision
+	cacheMinute  int64 // Unix minute in which the cached decisions were made
+	failures     int
 }
 
-// bound is a rule with its policy.
-type bound struct {
+// policyRule is a rule and its policy.
+type policyRule struct {
 	policy *Policy
 	rule   *compiledRule
 }
 
-// memoKey is what a decision depends on within a minute, sizes apart.
-type memoKey struct {
+// cacheKey holds the properties, except the prompt's size, that a decision depends on within a minute.
+type cacheKey struct {
 	workspace, kind, model, service, dataCentre string
 }
 
-// NewSet returns the set of the given policies; those that name a workspace go before those for all, and then by name.
+// NewSet returns the set of the given policies. Policies for particular workspaces take precedence over policies for all; within each group the
+// order is by name.
 func NewSet(policies []*Policy) *Set {
-	s := &Set{policies: slices.Clone(policies), byName: map[string][]bound{}, memo: map[memoKey]Decision{}}
+	s := &Set{policies: slices.Clone(policies), byWorkspace: map[string][]policyRule{}, cache: map[cacheKey]Decision{}}
 	slices.SortFunc(s.policies, func(a, b *Policy) int { return strings.Compare(a.Name, b.Name) })
-	for _, workspace := range s.named() {
-		s.byName[workspace] = s.rulesFor(workspace)
+	for _, workspace := range s.namedWorkspaces() {
+		s.byWorkspace[workspace] = s.rulesFor(workspace)
 	}
-	s.general = s.rulesFor("")
+	s.defaultRules = s.rulesFor("")
 	return s
 }
 
-// named returns the workspaces that policies or rules name.
-func (s *Set) named() []string {
+// namedWorkspaces returns the workspaces that policies or rules mention.
+func (s *Set) namedWorkspaces() []string {
 	var names []string
 	for _, p := range s.policies {
 		names = append(names, p.workspaces...)
@@ -61,82 +62,82 @@
 	return slices.Compact(names)
 }
 
-// rulesFor returns the rules that hold for a workspace, "" for one that is not named anywhere.
-func (s *Set) rulesFor(workspace string) []bound {
-	var own, general []bound
+// rulesFor returns the rules that apply to a workspace, where "" stands for any workspace that is mentioned nowhere.
+func (s *Set) rulesFor(workspace string) []policyRule {
+	var own, general []policyRule
 	for _, p := range s.policies {
 		for i := range p.rules {
 			r := &p.rules[i]
-			if !covers(p.workspaces, workspace) || !covers(r.workspaces, workspace) {
+			if !appliesTo(p.workspaces, workspace) || !appliesTo(r.workspaces, workspace) {
 				continue
 			}
 			if len(p.workspaces) > 0 {
-				own = append(own, bound{policy: p, rule: r})
+				own = append(own, policyRule{policy: p, rule: r})
 			} else {
-				general = append(general, bound{policy: p, rule: r})
+				general = append(general, policyRule{policy: p, rule: r})
 			}
 		}
 	}
 	return append(own, general...)
 }
 
-// Decide returns what the first matching rule says about a request at now.
+// Decide returns the decision of the first rule that matches a request at the given time.
 func (s *Set) Decide(now time.Time, q Query) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rules, ok := s.byName[q.Workspace]
+	rules, ok := s.byWorkspace[q.Workspace]
 	if !ok {
-		rules = s.general
+		rules = s.defaultRules
 	}
 	if len(rules) == 0 {
 		return Decision{}
 	}
-	key := memoKey{q.Workspace, q.Kind, q.Model, q.Service, q.DataCentre}
-	s.turn(now)
-	if d, ok := s.memo[key]; ok {
+	key := cacheKey{q.Workspace, q.Kind, q.Model, q.Service, q.DataCentre}
+	s.expireCache(now)
+	if d, ok := s.cache[key]; ok {
 		return d
 	}
-	d, keep := s.first(now, q, rules)
-	if keep && len(s.memo) < memoEntries {
-		s.memo[key] = d
+	d, cacheable := s.evaluate(now, q, rules)
+	if cacheable && len(s.cache) < maxCacheEntries {
+		s.cache[key] = d
 	}
 	return d
 }
 
-// turn forgets the decisions of another minute, because rules may look at the clock.
-func (s *Set) turn(now time.Time) {
-	if minute := now.Unix() / 60; minute != s.minute {
-		s.minute = minute
-		clear(s.memo)
+// expireCache clears the cached decisions when the minute changes, because rules may depend on the time.
+func (s *Set) expireCache(now time.Time) {
+	if minute := now.Unix() / 60; minute != s.cacheMinute {
+		s.cacheMinute = minute
+		clear(s.cache)
 	}
 }
 
-// first evaluates rules until one matches, and reports whether the decision holds for all sizes of prompt.
-func (s *Set) first(now time.Time, q Query, rules []bound) (Decision, bool) {
+// evaluate evaluates rules until one matches, and reports whether the decision is independent of the prompt's size and may thus be cached.
+func (s *Set) evaluate(now time.Time, q Query, rules []policyRule) (Decision, bool) {
 	env := q.env()
 	var zone *time.Location
-	keep := true
-	for _, b := range rules {
-		if b.policy.zone != zone {
-			zone = b.policy.zone
+	cacheable := true
+	for _, r := range rules {
+		if r.policy.zone != zone {
+			zone = r.policy.zone
 			env.setTime(now.In(zone))
 		}
-		keep = keep && !b.policy.sizes
-		matched, err := matches(b.rule.program, env)
+		cacheable = cacheable && !r.policy.usesPromptSize
+		matched, err := matches(r.rule.program, env)
 		if err != nil {
 			s.failures++
 			continue
 		}
 		if matched {
-			return b.decision(), keep
+			return r.decision(), cacheable
 		}
 	}
-	return Decision{}, keep
+	return Decision{}, cacheable
 }
 
-func (b bound) decision() Decision {
-	d := b.rule.decision
-	d.Rule = b.policy.Name + "/" + b.rule.name
+func (r policyRule) decision() Decision {
+	d := r.rule.decision
+	d.Rule = r.policy.Name + "/" + r.rule.name
 	return d
 }
 
@@ -152,14 +153,14 @@
 	return matched, nil
 }
 
-// Failures returns how many evaluations failed; a rule that fails counts as one that does not match.
+// Failures returns the number of failed evaluations; a rule whose evaluation fails does not match.
 func (s *Set) Failures() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failures
 }
 
-// Drained returns the selectors of the upstreams that are to take no new work at now.
+// Drained returns the selectors of the upstreams that are drained at the given time.
 func (s *Set) Drained(now time.Time) []vaneyoke.Selector {
 	var drained []vaneyoke.Selector
 	for _, p := range s.policies {
@@ -167,14 +168,14 @@
 		env.setTime(now.In(p.zone))
 		for _, d := range p.drains {
 			if matched, err := matches(d.program, env); err == nil && matched {
-				drained = append(drained, d.from...)
+				drained = append(drained, d.upstreams...)
 			}
 		}
 	}
 	return drained
 }
 
-// Step is one rule on the way to a decision.
+// Step is the evaluation of one rule during a decision.
 type Step struct {
 	Rule    string `json:"rule"`
 	When    string `json:"when"`
@@ -182,26 +183,26 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Explain returns the decision for a request at now, and each rule that was looked at.
+// Explain returns the decision for a request at the given time and the rules that were evaluated.
 func (s *Set) Explain(now time.Time, q Query) (Decision, []Step) {
 	s.mu.Lock()
-	rules, ok := s.byName[q.Workspace]
+	rules, ok := s.byWorkspace[q.Workspace]
 	if !ok {
-		rules = s.general
+		rules = s.defaultRules
 	}
 	s.mu.Unlock()
 	var steps []Step
 	env := q.env()
-	for _, b := range rules {
-		env.setTime(now.In(b.policy.zone))
-		matched, err := matches(b.rule.program, env)
-		step := Step{Rule: b.policy.Name + "/" + b.rule.name, When: b.rule.when, Matched: matched}
+	for _, r := range rules {
+		env.setTime(now.In(r.policy.zone))
+		matched, err := matches(r.rule.program, env)
+		step := Step{Rule: r.policy.Name + "/" + r.rule.name, When: r.rule.when, Matched: matched}
 		if err != nil {
 			step.Error = err.Error()
 		}
 		steps = append(steps, step)
 		if matched {
-			return b.decision(), steps
+			return r.decision(), steps
 		}
 	}
 	return Decision{}, steps
