--- a/decide/journal/doc.go
+++ b/decide/journal/doc.go
@@ -1,2 +1,2 @@
-// Package journal keeps, without I/O, copies of the sessions of other nodes, so that one of them can go on after its owner is gone.
+// Package journal stores copies of other nodes' sessions, without I/O, so that another node can resume a session after its owner has failed.
 package journal
--- a/decide/journal/record.go
+++ b/decide/journal/record.go
@@ -6,37 +6,37 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Key names a session by the caller's own key.
+// Key identifies a session by its workspace and the key that the caller chose.
 type Key struct {
 	Workspace vaneyoke.WorkspaceID
 	Key       string
 }
 
-// Epoch counts the owners of a session from 1.
+// Epoch numbers the successive owners of a session, starting at 1.
 type Epoch uint64
 
-// Entry says who owns a session.
+// Entry records the owner of a session.
 type Entry struct {
 	Request    vaneyoke.RequestID
 	Owner      vaneyoke.NodeID
 	Epoch      Epoch
-	BodyDigest string        // of the request's body, so that a key is not used for two requests
-	Backup     vaneyoke.VMID // where the owner's journal is, "" where it has none
+	BodyDigest string        // digest of the request's body; detects the reuse of a key for another request
+	Backup     vaneyoke.VMID // VM that stores the owner's journal, "" for none
 }
 
-// newer reports whether e supersedes old; of two owners in one epoch the later name wins, so that all nodes agree.
-func (e Entry) newer(old Entry) bool {
+// supersedes reports whether e replaces old. Within an epoch the greater owner name wins, so that all nodes agree.
+func (e Entry) supersedes(old Entry) bool {
 	if e.Epoch != old.Epoch {
 		return e.Epoch > old.Epoch
 	}
 	return e.Owner.String() > old.Owner.String()
 }
 
-// Stream names a run on an engine.
+// Stream identifies a run on an engine.
 type Stream struct {
 	Name     string
 	Upstream vaneyoke.UpstreamID
-	Base     vaneyoke.Tokens // index within the answer of the run's first token
+	Base     vaneyoke.Tokens // index of the run's first token within the answer
 }
 
 // Result says how a session ended.
@@ -44,46 +44,46 @@
 	Code      vaneyoke.Code
 	Detail    string
 	Reason    vaneyoke.FinishReason
-	Status    int // of an answer that was not streamed, with the two below
+	Status    int // HTTP status; it, MediaType and Body are set for a non-streaming answer
 	MediaType string
 	Body      []byte
 }
 
-// Handle names a session towards the node that keeps its journal, in place of its key and entry.
+// Handle identifies a session to the node that stores its journal, in place of the key and entry.
 type Handle struct {
 	Owner  vaneyoke.NodeID
 	Number uint64
 }
 
-// Delta is a part of a session, from an index on or whole.
+// Delta is an increment of a session's state, or the whole state if it begins at 0.
 type Delta struct {
 	Handle   Handle
-	Key      Key // zero, as is Entry, where the handle is known to the receiver
+	Key      Key // zero, like Entry, if the receiver knows the handle
 	Entry    Entry
-	From     vaneyoke.Tokens // index of the first of IDs
-	TextFrom int             // offset of Text
+	From     vaneyoke.Tokens // index of the first of IDs within the answer
+	TextFrom int             // byte offset of Text within the answer
 	IDs      []vaneyoke.TokenID
 	Text     []byte
-	Prompt   []vaneyoke.TokenID // nil where it is not known or was sent before
-	Stream   *Stream            // the run that gave the last tokens, the zero value where nothing runs; nil for no change
-	Result   *Result            // nil while the session runs
+	Prompt   []vaneyoke.TokenID // nil if unknown or already sent
+	Stream   *Stream            // the run that produced the last tokens, the zero value if nothing runs; nil for no change
+	Result   *Result            // nil while the session is running
 }
 
-// record is what a node keeps of a session.
+// record is a node's copy of a session.
 type record struct {
 	Delta
-	touched time.Time
-	pushed  bool // whether anything but the entry is known
+	updatedAt  time.Time
+	hasContent bool // whether more than the entry is known
 }
 
-// Sizes of what a record holds besides its text and ids, an estimate.
+// Estimated memory of a record besides its text and ids, and of one token id.
 const (
-	recordBytes = 400
-	idBytes     = 4
+	recordOverheadBytes = 400
+	tokenIDBytes        = 4
 )
 
 func (r *record) size() int {
-	size := recordBytes + len(r.Text) + idBytes*(len(r.IDs)+len(r.Prompt))
+	size := recordOverheadBytes + len(r.Text) + tokenIDBytes*(len(r.IDs)+len(r.Prompt))
 	if r.Result != nil {
 		size += len(r.Result.Body)
 	}
--- a/decide/journal/store.go
+++ b/decide/journal/store.go
@@ -7,48 +7,48 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Config bounds what a store keeps.
+// Config limits the contents of a store.
 type Config struct {
-	Bytes     int           // estimated memory of all records
+	MaxBytes  int           // limit of the estimated memory of all records
 	Retention time.Duration // how long a record is kept after its last change
 }
 
-// PushState says what became of a delta.
-type PushState int
+// PushOutcome is the result of pushing a delta.
+type PushOutcome int
 
-// The outcomes of a push.
+// The results of a push.
 const (
-	PushKept       PushState = iota + 1
-	PushGap                  // what came before is lacking; the whole session has to be sent
-	PushSuperseded           // another node owns the session now
+	PushAccepted   PushOutcome = iota + 1
+	PushGap                    // earlier data is missing; the sender has to send the whole session
+	PushSuperseded             // another node owns the session now
 )
 
-// Store keeps records of other nodes' sessions.
+// Store holds the records of other nodes' sessions in memory.
 type Store struct {
-	config  Config
-	records map[Key]*list.Element // of *record, in the order of their last change
-	handles map[Handle]Key
-	order   *list.List
-	used    int
-	evicted int
+	config    Config
+	records   map[Key]*list.Element // of *record
+	handles   map[Handle]Key
+	lru       *list.List
+	usedBytes int
+	evicted   int
 }
 
 // New returns an empty store.
 func New(config Config) *Store {
-	return &Store{config: config, records: map[Key]*list.Element{}, handles: map[Handle]Key{}, order: list.New()}
+	return &Store{config: config, records: map[Key]*list.Element{}, handles: map[Handle]Key{}, lru: list.New()}
 }
 
 // Bytes returns the estimated memory of all records.
-func (s *Store) Bytes() int { return s.used }
+func (s *Store) Bytes() int { return s.usedBytes }
 
 // Len returns the number of records.
 func (s *Store) Len() int { return len(s.records) }
 
-// Evicted returns how many records were given up for lack of memory.
+// Evicted returns the number of records that were evicted because the memory limit was reached.
 func (s *Store) Evicted() int { return s.evicted }
 
-// Open notes the owner of a key; where another owner holds the key it returns that one's entry instead.
-// An entry of epoch 0 only asks: it gives way to any other.
+// Open registers the owner of a key. If another owner holds the key, it changes nothing and returns that owner's entry and true.
+// An entry of epoch 0 is a query: every other entry of the same request replaces it.
 func (s *Store) Open(now time.Time, key Key, entry Entry) (Entry, bool) {
 	s.expire(now)
 	r := s.find(key)
@@ -56,7 +56,7 @@
 		s.add(now, &record{Delta: Delta{Key: key, Entry: entry}})
 		return Entry{}, false
 	}
-	if !r.yields(entry) {
+	if !r.replaceableBy(entry) {
 		return r.Entry, true
 	}
 	r.Entry = entry
@@ -64,45 +64,46 @@
 	return Entry{}, false
 }
 
-// yields reports whether the record gives way to an entry: to its own owner's next word, and to a later owner of its request.
-func (r *record) yields(entry Entry) bool {
-	if !r.pushed && r.Entry.Owner == entry.Owner {
+// replaceableBy reports whether an entry may replace the record's: one of the same owner, as long as the record has no content or the
+// request and epoch are unchanged, or one of a later owner of the same request.
+func (r *record) replaceableBy(entry Entry) bool {
+	if !r.hasContent && r.Entry.Owner == entry.Owner {
 		return true
 	}
 	if r.Entry.Request != entry.Request {
 		return false
 	}
-	return entry.newer(r.Entry) || (entry.Owner == r.Entry.Owner && entry.Epoch == r.Entry.Epoch)
+	return entry.supersedes(r.Entry) || (entry.Owner == r.Entry.Owner && entry.Epoch == r.Entry.Epoch)
 }
 
-// Push adds a delta to the session's record.
-func (s *Store) Push(now time.Time, d Delta) PushState {
+// Push applies a delta to the session's record.
+func (s *Store) Push(now time.Time, d Delta) PushOutcome {
 	s.expire(now)
 	if d.Key == (Key{}) {
-		return s.pushKnown(now, d)
+		return s.pushByHandle(now, d)
 	}
 	r := s.find(d.Key)
 	if r == nil {
 		return s.pushNew(now, d)
 	}
-	if !r.yields(d.Entry) {
+	if !r.replaceableBy(d.Entry) {
 		return PushSuperseded
 	}
-	if d.From == 0 && d.TextFrom == 0 && (d.Entry.newer(r.Entry) || d.Entry.Request != r.Entry.Request) {
+	if d.From == 0 && d.TextFrom == 0 && (d.Entry.supersedes(r.Entry) || d.Entry.Request != r.Entry.Request) {
 		s.remove(d.Key)
 		return s.pushNew(now, d)
 	}
 	s.handles[d.Handle] = d.Key
 	if d.From == 0 && d.TextFrom == 0 {
-		s.used -= r.size()
-		r.IDs, r.Text = nil, nil // a whole session stands for itself, because its owner may have taken ids back
-		s.used += r.size()
+		s.usedBytes -= r.size()
+		r.IDs, r.Text = nil, nil // a whole session replaces the record, because its owner may have retracted tokens
+		s.usedBytes += r.size()
 	}
-	return s.extend(now, r, d)
+	return s.apply(now, r, d)
 }
 
-// pushKnown adds a delta that names its session by a handle.
-func (s *Store) pushKnown(now time.Time, d Delta) PushState {
+// pushByHandle applies a delta that identifies its session by a handle.
+func (s *Store) pushByHandle(now time.Time, d Delta) PushOutcome {
 	key, ok := s.handles[d.Handle]
 	if !ok {
 		return PushGap
@@ -116,33 +117,33 @@
 		return PushSuperseded
 	}
 	d.Key, d.Entry = r.Key, r.Entry
-	return s.extend(now, r, d)
+	return s.apply(now, r, d)
 }
 
-// extend adds a delta to a record whose owner sent it.
-func (s *Store) extend(now time.Time, r *record, d Delta) PushState {
+// apply merges a delta from the record's owner into the record.
+func (s *Store) apply(now time.Time, r *record, d Delta) PushOutcome {
 	if d.From > vaneyoke.Tokens(len(r.IDs)) || d.TextFrom > len(r.Text) {
 		return PushGap
 	}
-	s.used -= r.size()
-	r.extend(d)
-	s.used += r.size()
+	s.usedBytes -= r.size()
+	r.merge(d)
+	s.usedBytes += r.size()
 	s.touch(now, d.Key)
-	s.shrink()
-	return PushKept
+	s.evict()
+	return PushAccepted
 }
 
-func (s *Store) pushNew(now time.Time, d Delta) PushState {
+func (s *Store) pushNew(now time.Time, d Delta) PushOutcome {
 	if d.From > 0 || d.TextFrom > 0 {
 		return PushGap
 	}
 	s.handles[d.Handle] = d.Key
-	s.add(now, &record{Delta: d, pushed: true})
-	return PushKept
+	s.add(now, &record{Delta: d, hasContent: true})
+	return PushAccepted
 }
 
-// extend takes in what the record does not hold yet; a delta that came before changes nothing.
-func (r *record) extend(d Delta) {
+// merge appends the ids and text that the record lacks, so that a repeated delta has no effect.
+func (r *record) merge(d Delta) {
 	if skip := len(r.IDs) - int(d.From); skip < len(d.IDs) {
 		r.IDs = append(r.IDs, d.IDs[skip:]...)
 	}
@@ -158,20 +159,20 @@
 		r.Stream = d.Stream
 	}
 	r.Result = d.Result
-	r.pushed = true
+	r.hasContent = true
 }
 
-// Get returns what the store holds of a session, if any of it was pushed.
+// Get returns the stored state of a session, if any of it was pushed.
 func (s *Store) Get(now time.Time, key Key) (Delta, bool) {
 	s.expire(now)
 	r := s.find(key)
-	if r == nil || !r.pushed {
+	if r == nil || !r.hasContent {
 		return Delta{}, false
 	}
 	return r.Delta, true
 }
 
-// Entry returns who owns a session.
+// Entry returns the ownership entry of a session.
 func (s *Store) Entry(now time.Time, key Key) (Entry, bool) {
 	s.expire(now)
 	r := s.find(key)
@@ -181,7 +182,7 @@
 	return r.Entry, true
 }
 
-// TakeOver makes a node the owner of a session and returns what the store holds of it.
+// TakeOver makes a node the owner of an unfinished session and returns the session's stored state.
 func (s *Store) TakeOver(now time.Time, key Key, owner vaneyoke.NodeID) (Delta, bool) {
 	d, ok := s.Get(now, key)
 	if !ok {
@@ -196,7 +197,7 @@
 	return d, true
 }
 
-// Drop forgets a session.
+// Drop removes the record of a session.
 func (s *Store) Drop(key Key) { s.remove(key) }
 
 func (s *Store) find(key Key) *record {
@@ -213,16 +214,16 @@
 }
 
 func (s *Store) add(now time.Time, r *record) {
-	r.touched = now
-	s.records[r.Key] = s.order.PushBack(r)
-	s.used += r.size()
-	s.shrink()
+	r.updatedAt = now
+	s.records[r.Key] = s.lru.PushBack(r)
+	s.usedBytes += r.size()
+	s.evict()
 }
 
 func (s *Store) touch(now time.Time, key Key) {
 	e := s.records[key]
-	recordOf(e).touched = now
-	s.order.MoveToBack(e)
+	recordOf(e).updatedAt = now
+	s.lru.MoveToBack(e)
 }
 
 func (s *Store) remove(key Key) {
@@ -230,27 +231,27 @@
 	if !ok {
 		return
 	}
-	s.used -= recordOf(e).size()
+	s.usedBytes -= recordOf(e).size()
 	delete(s.handles, recordOf(e).Handle)
-	s.order.Remove(e)
+	s.lru.Remove(e)
 	delete(s.records, key)
 }
 
-// expire forgets records that have not changed for the retention time.
+// expire removes records that have not changed for the retention time.
 func (s *Store) expire(now time.Time) {
-	for e := s.order.Front(); e != nil; e = s.order.Front() {
+	for e := s.lru.Front(); e != nil; e = s.lru.Front() {
 		r := recordOf(e)
-		if now.Sub(r.touched) < s.config.Retention {
+		if now.Sub(r.updatedAt) < s.config.Retention {
 			return
 		}
 		s.remove(r.Key)
 	}
 }
 
-// shrink gives up finished records first, oldest first, and then running ones, until the memory suffices.
-func (s *Store) shrink() {
+// evict removes records until the memory limit is met: finished ones first, then running ones, each from the least recently changed.
+func (s *Store) evict() {
 	for _, finished := range []bool{true, false} {
-		for e := s.order.Front(); e != nil && s.used > s.config.Bytes; {
+		for e := s.lru.Front(); e != nil && s.usedBytes > s.config.MaxBytes; {
 			next := e.Next()
 			if r := recordOf(e); (r.Result != nil) == finished {
 				s.remove(r.Key)
--- a/process/node/wire.go
+++ b/process/node/wire.go
@@ -170,7 +170,7 @@
 
 func provideJournals(i do.Injector) (*peer.Journals, error) {
 	s := do.MustInvoke[settings.Settings](i).Peers
-	journals := peer.NewJournals(journal.New(journal.Config{Bytes: s.Bytes, Retention: s.Retention}))
+	journals := peer.NewJournals(journal.New(journal.Config{MaxBytes: s.Bytes, Retention: s.Retention}))
 	vars := do.MustInvoke[*expvar.Map](i)
 	vars.Set("journal_bytes", expvar.Func(func() any { return journals.Bytes() }))
 	vars.Set("journals", expvar.Func(func() any { return journals.Len() }))
--- a/shell/failover/manager.go
+++ b/shell/failover/manager.go
@@ -23,7 +23,7 @@
 	// Open reserves a key at a peer for an owner, or returns who owns it.
 	Open(ctx context.Context, p membership.Peer, key journal.Key, entry journal.Entry) (journal.Entry, bool, error)
 	// Push adds deltas to the journals that a peer keeps.
-	Push(ctx context.Context, p membership.Peer, deltas []journal.Delta) ([]journal.PushState, error)
+	Push(ctx context.Context, p membership.Peer, deltas []journal.Delta) ([]journal.PushOutcome, error)
 	// TakeOver makes owner the owner of a session, and returns what the peer holds of it.
 	TakeOver(ctx context.Context, p membership.Peer, key journal.Key, owner vaneyoke.NodeID, fromOwner bool) (journal.Delta, bool, error)
 }
--- a/shell/failover/session.go
+++ b/shell/failover/session.go
@@ -156,7 +156,7 @@
 }
 
 // pushed takes in what became of a delta.
-func (s *session) pushed(d journal.Delta, to vaneyoke.VMID, state journal.PushState) {
+func (s *session) pushed(d journal.Delta, to vaneyoke.VMID, state journal.PushOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pushing = false
@@ -164,7 +164,7 @@
 		return
 	}
 	switch state {
-	case journal.PushKept:
+	case journal.PushAccepted:
 		s.acked.ids = int(d.From) + len(d.IDs)
 		s.acked.text = d.TextFrom + len(d.Text)
 		s.acked.prompt = true
--- a/tools/measure/core.go
+++ b/tools/measure/core.go
@@ -205,7 +205,7 @@
 func journalTime(context.Context) Series {
 	s := Series{Name: "journal_time", X: "pushed deltas", Y: "processor time in us"}
 	for _, sessions := range []int{100, 1000, 10_000} {
-		store := journal.New(journal.Config{Bytes: 1 << 30, Retention: time.Hour})
+		store := journal.New(journal.Config{MaxBytes: 1 << 30, Retention: time.Hour})
 		now := time.Now()
 		before := processorTime()
 		for push := range 5 {
@@ -226,7 +226,7 @@
 	s := Series{Name: "journal_memory", X: "journals of 200 tokens", Y: "heap in bytes"}
 	for _, sessions := range []int{100, 1000, 10_000} {
 		before := heapBytes()
-		store := journal.New(journal.Config{Bytes: 1 << 30, Retention: time.Hour})
+		store := journal.New(journal.Config{MaxBytes: 1 << 30, Retention: time.Hour})
 		for i := range sessions {
 			store.Push(time.Now(), delta(i, 0, tokensEach))
 		}
--- a/wire/peer/client.go
+++ b/wire/peer/client.go
@@ -61,7 +61,7 @@
 }
 
 // Push adds deltas to the journals that a peer keeps.
-func (c *Client) Push(ctx context.Context, p membership.Peer, deltas []journal.Delta) ([]journal.PushState, error) {
+func (c *Client) Push(ctx context.Context, p membership.Peer, deltas []journal.Delta) ([]journal.PushOutcome, error) {
 	if p.VM == c.self.VM {
 		return c.journals.push(deltas), nil
 	}
@@ -73,7 +73,7 @@
 	if len(out.GetStates()) != len(deltas) {
 		return nil, vaneyoke.Err(vaneyoke.CodeInternal, "peer %s answered %d of %d deltas", p.VM, len(out.GetStates()), len(deltas))
 	}
-	return lo.Map(out.GetStates(), func(s peerpb.PushState, _ int) journal.PushState { return journal.PushState(s) }), nil
+	return lo.Map(out.GetStates(), func(s peerpb.PushState, _ int) journal.PushOutcome { return journal.PushOutcome(s) }), nil
 }
 
 // TakeOver makes owner the owner of a session, and returns what the peer holds of it as its owner or in a journal.
--- a/wire/peer/fuzz_test.go
+++ b/wire/peer/fuzz_test.go
@@ -25,7 +25,7 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		store := journal.New(journal.Config{Bytes: 1 << 20, Retention: 1 << 40})
+		store := journal.New(journal.Config{MaxBytes: 1 << 20, Retention: 1 << 40})
 		for range 2 {
 			store.Push(time.Unix(1000, 0), peer.ReadDelta(raw))
 		}
--- a/wire/peer/server.go
+++ b/wire/peer/server.go
@@ -45,11 +45,11 @@
 	return j.store.Open(time.Now(), key, entry)
 }
 
-func (j *Journals) push(deltas []journal.Delta) []journal.PushState {
+func (j *Journals) push(deltas []journal.Delta) []journal.PushOutcome {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := time.Now()
-	return lo.Map(deltas, func(d journal.Delta, _ int) journal.PushState { return j.store.Push(now, d) })
+	return lo.Map(deltas, func(d journal.Delta, _ int) journal.PushOutcome { return j.store.Push(now, d) })
 }
 
 func (j *Journals) takeOver(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool) {
@@ -119,7 +119,7 @@
 	sender := nodeOf(in.GetSender())
 	deltas := lo.Map(in.GetDeltas(), func(d *peerpb.Delta, _ int) journal.Delta { return deltaOf(d, sender) })
 	states := s.journals.push(deltas)
-	return &peerpb.PushReply{States: lo.Map(states, func(p journal.PushState, _ int) peerpb.PushState {
+	return &peerpb.PushReply{States: lo.Map(states, func(p journal.PushOutcome, _ int) peerpb.PushState {
 		return peerpb.PushState(p)
 	})}, nil
 }
