--- a/api/callerapi/answer.go
+++ b/api/callerapi/answer.go
@@ -42,7 +42,7 @@
 	a.reader.Seal(ctx)
 	body := session.Answer().Body
 	if a.req.Continuable {
-		whole := openai.NewWhole(a.req, a.req.ReceivedAt, string(session.Text()), result.Reason, result.Usage)
+		whole := openai.NewResponse(a.req, a.req.ReceivedAt, string(session.Text()), result.Reason, result.Usage)
 		if body, err = json.Marshal(whole); err != nil {
 			return nil, vaneyoke.WrapErr(vaneyoke.CodeInternal, err, "encode answer")
 		}
--- a/decide/openai/chunk.go
+++ b/decide/openai/chunk.go
@@ -10,12 +10,12 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// EndOfStream is the last event of a stream that came to its own end.
+// EndOfStream is the last event of a stream that ended normally.
 const EndOfStream = "data: [DONE]\n\n"
 
 // Writer encodes the chunks of one streamed answer as server-sent events.
 type Writer struct {
-	head []byte // of each event, up to the choices
+	head []byte // beginning of each event, up to the choices
 	chat bool
 	buf  []byte
 }
@@ -38,7 +38,7 @@
 	return &Writer{head: head, chat: chat}
 }
 
-// AnswerID returns the id that an answer bears towards the caller.
+// AnswerID returns the id of the answer that the caller sees.
 func AnswerID(req *vaneyoke.Request) string {
 	if req.Endpoint == vaneyoke.EndpointChat {
 		return "chatcmpl-" + string(req.ID)
@@ -46,69 +46,69 @@
 	return "cmpl-" + string(req.ID)
 }
 
-// appendQuote appends text as a JSON string; bytes that are no UTF-8 become replacement characters.
+// appendQuote appends text as a JSON string; invalid UTF-8 becomes replacement characters.
 func appendQuote(buf, text []byte) []byte {
 	out, _ := jsontext.AppendQuote(buf, text)
 	return out
 }
 
-// Role returns the first event of a chat, which names the role and has no text.
+// Role returns the first event of a chat, which has the role and no text.
 func (w *Writer) Role() []byte {
-	w.start("")
+	w.beginEvent("")
 	w.buf = append(w.buf, `,"choices":[{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}`...)
-	return w.end()
+	return w.endEvent()
 }
 
 // Chat reports whether the answer is a chat.
 func (w *Writer) Chat() bool { return w.chat }
 
-// Text returns the event for a piece of text, valid until the next call; id is the event's id, "" for none.
+// Text returns the event for a piece of text; id is the event's id, "" for none. The result is valid until the next call.
 func (w *Writer) Text(id string, text []byte) []byte {
-	w.start(id)
+	w.beginEvent(id)
 	if w.chat {
 		w.buf = append(w.buf, `,"choices":[{"index":0,"delta":{"content":`...)
 		w.buf = appendQuote(w.buf, text)
 		w.buf = append(w.buf, `},"logprobs":null,"finish_reason":null}]}`...)
-		return w.end()
+		return w.endEvent()
 	}
 	w.buf = append(w.buf, `,"choices":[{"index":0,"text":`...)
 	w.buf = appendQuote(w.buf, text)
 	w.buf = append(w.buf, `,"logprobs":null,"finish_reason":null}]}`...)
-	return w.end()
+	return w.endEvent()
 }
 
-// Finish returns the event that gives the finish reason.
+// Finish returns the event with the finish reason.
 func (w *Writer) Finish(reason vaneyoke.FinishReason) []byte {
-	w.start("")
-	part := `,"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":`
+	w.beginEvent("")
+	choices := `,"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":`
 	if w.chat {
-		part = `,"choices":[{"index":0,"delta":{},"logprobs":null,"finish_reason":`
+		choices = `,"choices":[{"index":0,"delta":{},"logprobs":null,"finish_reason":`
 	}
-	w.buf = append(w.buf, part...)
+	w.buf = append(w.buf, choices...)
 	w.buf = appendQuote(w.buf, []byte(reason))
 	w.buf = append(w.buf, `}]}`...)
-	return w.end()
+	return w.endEvent()
 }
 
-// Usage returns the event that gives the usage figures.
+// Usage returns the event with the usage figures.
 func (w *Writer) Usage(usage vaneyoke.Usage) []byte {
-	w.start("")
+	w.beginEvent("")
 	w.buf = append(w.buf, `,"choices":[],"usage":`...)
-	w.buf = appendJSON(w.buf, usageOf(usage))
+	w.buf = appendJSON(w.buf, newUsage(usage))
 	w.buf = append(w.buf, '}')
-	return w.end()
+	return w.endEvent()
 }
 
 // Raw returns an event with the given choices as JSON.
 func (w *Writer) Raw(choices []byte) []byte {
-	w.start("")
+	w.beginEvent("")
 	w.buf = append(w.buf, `,"choices":`...)
 	w.buf = append(w.buf, choices...)
 	w.buf = append(w.buf, '}')
-	return w.end()
+	return w.endEvent()
 }
 
-func (w *Writer) start(id string) {
+func (w *Writer) beginEvent(id string) {
 	w.buf = w.buf[:0]
 	if id != "" {
 		w.buf = append(w.buf, "id: "...)
@@ -118,16 +118,16 @@
 	w.buf = append(w.buf, w.head...)
 }
 
-func (w *Writer) end() []byte {
+func (w *Writer) endEvent() []byte {
 	w.buf = append(w.buf, "\n\n"...)
 	return w.buf
 }
 
-// appendJSON appends a value of this package, which always encodes.
+// appendJSON appends the JSON encoding of v; it panics if v cannot be encoded, which no value of this package causes.
 func appendJSON(buf []byte, v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic("openai: value does not encode: " + err.Error())
+		panic("openai: value cannot be encoded: " + err.Error())
 	}
 	return append(buf, raw...)
 }
--- a/decide/openai/doc.go
+++ b/decide/openai/doc.go
@@ -1,2 +1,2 @@
-// Package openai reads and writes the bodies of the OpenAI API, towards callers and towards engines, without I/O.
+// Package openai encodes and decodes the bodies of the OpenAI API, for callers and for engines, without I/O.
 package openai
--- a/decide/openai/fuzz_test.go
+++ b/decide/openai/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/vaneyoke/vaneyoke/decide/openai"
 )
 
-// FuzzRequests reads any body of a caller's; what is let through is within bounds, and an engine is sent a body that can be read.
+// FuzzRequests parses arbitrary bodies. For each accepted one, the limits must be valid and the body for the engine must be valid JSON.
 func FuzzRequests(f *testing.F) {
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		for _, endpoint := range []vaneyoke.Endpoint{vaneyoke.EndpointChat, vaneyoke.EndpointCompletions} {
@@ -19,9 +19,9 @@
 				continue
 			}
 			must.GreaterEq(t, 0, req.MaxTokens)
-			run, err := json.Marshal(openai.WholeRun(&req).Fields)
+			body, err := json.Marshal(openai.NonStreamRequest(&req).Fields)
 			must.NoError(t, err)
-			must.True(t, json.Valid(run))
+			must.True(t, json.Valid(body))
 		}
 	})
 }
--- a/decide/openai/request.go
+++ b/decide/openai/request.go
@@ -7,10 +7,10 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// defaultCompletionTokens is the limit that the completions endpoint sets where the caller sets none.
+// defaultCompletionTokens is the completions endpoint's max_tokens if the caller sets none.
 const defaultCompletionTokens = 16
 
-// body holds the members of a request body that the node itself has to understand.
+// body holds the members of a request body that the node itself interprets.
 type body struct {
 	Model               vaneyoke.ModelID `json:"model"`
 	Prompt              json.RawMessage  `json:"prompt"`
@@ -28,22 +28,22 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// wholeOnly names the fields whose answers cannot be continued from a token prefix.
-var wholeOnly = []string{
+// nonContinuableFields lists the fields with which an answer cannot be continued from a token prefix.
+var nonContinuableFields = []string{
 	"tools", "functions", "response_format", "structured_outputs", "guided_json", "guided_regex",
 	"guided_choice", "guided_grammar", "logprobs", "top_logprobs", "prompt_logprobs", "echo", "audio",
 	"use_beam_search",
 }
 
-// ParseRequest reads a caller's body.
+// ParseRequest parses and checks a caller's body.
 func ParseRequest(endpoint vaneyoke.Endpoint, raw []byte) (vaneyoke.Request, error) {
 	var b body
 	var fields vaneyoke.Fields
 	if err := json.Unmarshal(raw, &fields); err != nil {
-		return vaneyoke.Request{}, badBody(err)
+		return vaneyoke.Request{}, bodyError(err)
 	}
 	if err := json.Unmarshal(raw, &b); err != nil {
-		return vaneyoke.Request{}, badBody(err)
+		return vaneyoke.Request{}, bodyError(err)
 	}
 	req := vaneyoke.Request{
 		Endpoint:     endpoint,
@@ -110,7 +110,7 @@
 	}
 }
 
-// parseStop reads the stop member, which is a string, a list of strings or null.
+// parseStop parses the stop member, which is a string, a list of strings or null.
 func parseStop(raw json.RawMessage) ([]string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
@@ -136,19 +136,19 @@
 	return kept
 }
 
-// continuable reports whether an answer to these fields can go on from a token prefix on another engine.
+// continuable reports whether another engine can continue the answer from a token prefix.
 func continuable(fields vaneyoke.Fields) bool {
-	for _, name := range wholeOnly {
+	for _, name := range nonContinuableFields {
 		raw, ok := fields[name]
-		if ok && !isPlain(name, raw) {
+		if ok && !isDefault(name, raw) {
 			return false
 		}
 	}
-	return isOne(fields["n"]) && isOne(fields["best_of"]) && isOnePrompt(fields["prompt"])
+	return isUnsetOrOne(fields["n"]) && isUnsetOrOne(fields["best_of"]) && isSinglePrompt(fields["prompt"])
 }
 
-// isPlain reports whether a field has the value that stands for its absence.
-func isPlain(name string, raw json.RawMessage) bool {
+// isDefault reports whether a field's value is equivalent to its absence.
+func isDefault(name string, raw json.RawMessage) bool {
 	switch string(raw) {
 	case "null", "false", "[]":
 		return true
@@ -162,12 +162,12 @@
 	return json.Unmarshal(raw, &format) == nil && format.Type == "text"
 }
 
-func isOne(raw json.RawMessage) bool {
+func isUnsetOrOne(raw json.RawMessage) bool {
 	return len(raw) == 0 || string(raw) == "null" || string(raw) == "1"
 }
 
-// isOnePrompt reports whether the prompt is a single string or a single list of token ids.
-func isOnePrompt(raw json.RawMessage) bool {
+// isSinglePrompt reports whether the prompt is a single string or a single list of token ids.
+func isSinglePrompt(raw json.RawMessage) bool {
 	if len(raw) == 0 || raw[0] != '[' {
 		return true
 	}
@@ -175,8 +175,8 @@
 	return json.Unmarshal(raw, &ids) == nil
 }
 
-// badBody turns an error of the JSON decoder into one for the caller, with the field where it is known.
-func badBody(err error) error {
+// bodyError converts an error of the JSON decoder into one for the caller, with the field if it is known.
+func bodyError(err error) error {
 	if e, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return vaneyoke.ErrField(vaneyoke.CodeBadRequest, "body."+e.Field, "must be of another type, got %s", e.Value)
 	}
--- a/decide/openai/whole.go
+++ b/decide/openai/response.go
@@ -7,14 +7,14 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Usage is the usage member of an answer.
+// Usage is the usage member of a response.
 type Usage struct {
 	PromptTokens     vaneyoke.Tokens `json:"prompt_tokens"`
 	CompletionTokens vaneyoke.Tokens `json:"completion_tokens"`
 	TotalTokens      vaneyoke.Tokens `json:"total_tokens"`
 }
 
-func usageOf(u vaneyoke.Usage) Usage {
+func newUsage(u vaneyoke.Usage) Usage {
 	return Usage{PromptTokens: u.Prompt, CompletionTokens: u.Completion, TotalTokens: u.Prompt + u.Completion}
 }
 
@@ -24,7 +24,7 @@
 	Content string `json:"content"`
 }
 
-// Choice is the only choice of an answer.
+// Choice is the single choice of a response.
 type Choice struct {
 	Index        int                   `json:"index"`
 	Message      *Message              `json:"message,omitempty"`
@@ -33,8 +33,8 @@
 	FinishReason vaneyoke.FinishReason `json:"finish_reason"`
 }
 
-// Whole is an answer that is not streamed.
-type Whole struct {
+// Response is a non-streaming answer.
+type Response struct {
 	ID      string           `json:"id"`
 	Object  string           `json:"object"`
 	Created int64            `json:"created"`
@@ -43,54 +43,54 @@
 	Usage   Usage            `json:"usage"`
 }
 
-// NewWhole returns the answer to req in one body.
-func NewWhole(req *vaneyoke.Request, created time.Time, text string, reason vaneyoke.FinishReason, usage vaneyoke.Usage) Whole {
-	whole := Whole{ID: AnswerID(req), Created: created.Unix(), Model: req.Model, Usage: usageOf(usage)}
+// NewResponse returns the non-streaming answer to req.
+func NewResponse(req *vaneyoke.Request, created time.Time, text string, reason vaneyoke.FinishReason, usage vaneyoke.Usage) Response {
+	response := Response{ID: AnswerID(req), Created: created.Unix(), Model: req.Model, Usage: newUsage(usage)}
 	choice := Choice{FinishReason: reason}
 	if req.Endpoint == vaneyoke.EndpointChat {
-		whole.Object = "chat.completion"
+		response.Object = "chat.completion"
 		choice.Message = &Message{Role: "assistant", Content: text}
 	} else {
-		whole.Object = "text_completion"
+		response.Object = "text_completion"
 		choice.Text = &text
 	}
-	whole.Choices = []Choice{choice}
-	return whole
+	response.Choices = []Choice{choice}
+	return response
 }
 
-// rawWhole is an engine's answer, of which only the choices are looked into.
-type rawWhole struct {
+// engineResponse is an engine's non-streaming answer, of which only the choices are parsed.
+type engineResponse struct {
 	Choices []vaneyoke.Fields `json:"choices"`
 	Usage   json.RawMessage   `json:"usage"`
 }
 
-// Chunks returns the events of a stream that says the same as an engine's whole answer.
+// Chunks converts an engine's non-streaming answer into the equivalent events of a stream.
 func (w *Writer) Chunks(answer []byte, withUsage bool) ([]byte, error) {
-	var whole rawWhole
-	if err := json.Unmarshal(answer, &whole); err != nil {
+	var response engineResponse
+	if err := json.Unmarshal(answer, &response); err != nil {
 		return nil, vaneyoke.WrapErr(vaneyoke.CodeUpstream, err, "the engine's answer is not JSON")
 	}
 	var events []byte
-	for _, choice := range whole.Choices {
+	for _, choice := range response.Choices {
 		finish := choice["finish_reason"]
 		delete(choice, "finish_reason")
-		w.asDelta(choice)
+		w.convertToDelta(choice)
 		choice.Set("finish_reason", nil)
 		events = append(events, w.Raw(appendJSON(nil, []vaneyoke.Fields{choice}))...)
-		events = append(events, w.Raw(appendJSON(nil, []vaneyoke.Fields{w.last(choice["index"], finish)}))...)
+		events = append(events, w.Raw(appendJSON(nil, []vaneyoke.Fields{w.finishChoice(choice["index"], finish)}))...)
 	}
-	if withUsage && len(whole.Usage) > 0 {
-		w.start("")
+	if withUsage && len(response.Usage) > 0 {
+		w.beginEvent("")
 		w.buf = append(w.buf, `,"choices":[],"usage":`...)
-		w.buf = append(w.buf, whole.Usage...)
+		w.buf = append(w.buf, response.Usage...)
 		w.buf = append(w.buf, '}')
-		events = append(events, w.end()...)
+		events = append(events, w.endEvent()...)
 	}
 	return events, nil
 }
 
-// asDelta makes a whole message the delta of a chunk; its tool calls are numbered, as the API asks.
-func (w *Writer) asDelta(choice vaneyoke.Fields) {
+// convertToDelta replaces a choice's message by the delta of a chunk; tool calls get an index, which the API requires in chunks.
+func (w *Writer) convertToDelta(choice vaneyoke.Fields) {
 	if !w.chat {
 		return
 	}
@@ -109,12 +109,12 @@
 	choice.Set("delta", message)
 }
 
-func (w *Writer) last(index, finish json.RawMessage) vaneyoke.Fields {
-	last := vaneyoke.Fields{"index": index, "finish_reason": finish}
+func (w *Writer) finishChoice(index, finish json.RawMessage) vaneyoke.Fields {
+	choice := vaneyoke.Fields{"index": index, "finish_reason": finish}
 	if w.chat {
-		last["delta"] = json.RawMessage("{}")
+		choice["delta"] = json.RawMessage("{}")
 	} else {
-		last["text"] = json.RawMessage(`""`)
+		choice["text"] = json.RawMessage(`""`)
 	}
-	return last
+	return choice
 }
--- a/shell/relay/attempt.go
+++ b/shell/relay/attempt.go
@@ -49,7 +49,7 @@
 	}
 	switch m := s.mode.(type) {
 	case *streamed:
-		run := openai.StreamRun(m.req, e.Prefix, e.From)
+		run := openai.StreamRequest(m.req, e.Prefix, e.From)
 		go s.follow(ctx, e.Attempt, func() (*engine.Stream, error) {
 			return s.relay.engines.Start(ctx, l.upstream.URL, l.name, run, e.From, m.req.Repeatable)
 		})
--- a/shell/relay/bench_test.go
+++ b/shell/relay/bench_test.go
@@ -48,7 +48,7 @@
 	now := time.Unix(1, 0)
 	state.Handle(now, generation.Admitted{})
 	state.Handle(now, generation.Placed{Attempt: 1, Upstream: "e"})
-	stream, err := client.Start(tb.Context(), "http://engine", "r.1", openai.Run{Path: openai.PathChat}, 0, true)
+	stream, err := client.Start(tb.Context(), "http://engine", "r.1", openai.EngineRequest{Path: openai.PathChat}, 0, true)
 	must.NoError(tb, err)
 	writer := openai.NewWriter(req, now)
 	received := &generation.Received{Attempt: 1}
--- a/shell/relay/relay.go
+++ b/shell/relay/relay.go
@@ -208,7 +208,7 @@
 	if req.Continuable {
 		return &streamed{req: req}
 	}
-	run := openai.WholeRun(req)
+	run := openai.NonStreamRequest(req)
 	return &whole{path: run.Path, body: encode(run.Fields)}
 }
 
--- a/wire/engine/client.go
+++ b/wire/engine/client.go
@@ -53,7 +53,7 @@
 
 // Start sends an attempt and returns its stream, whose first token has the index from.
 // An attempt that may be replayed is sent again where a kept connection turns out to be closed.
-func (c *Client) Start(ctx context.Context, url, stream string, run openai.Run, from vaneyoke.Tokens, replay bool) (*Stream, error) {
+func (c *Client) Start(ctx context.Context, url, stream string, run openai.EngineRequest, from vaneyoke.Tokens, replay bool) (*Stream, error) {
 	body, err := json.Marshal(run.Fields)
 	if err != nil {
 		return nil, &RefusedError{Status: http.StatusBadRequest, Body: []byte(err.Error())}
--- a/wire/engine/replay_test.go
+++ b/wire/engine/replay_test.go
@@ -34,11 +34,11 @@
 	c := New(&http.Client{Transport: &http.Transport{}}, http.DefaultClient)
 	_, err := c.Call(t.Context(), server.URL+PathDetokenize, "r0", nil) // has a connection be kept
 	must.NoError(t, err)
-	_, err = c.Start(t.Context(), server.URL, "r1", openai.Run{Path: openai.PathCompletions}, 0, true)
+	_, err = c.Start(t.Context(), server.URL, "r1", openai.EngineRequest{Path: openai.PathCompletions}, 0, true)
 	must.EqOp(t, 1, runs.Load())
 	_, isClosed := errors.AsType[*ClosedError](err)
 	must.True(t, isClosed, must.Sprint(err))
-	_, err = c.Start(t.Context(), server.URL, "r2", openai.Run{Path: openai.PathCompletions}, 0, true)
+	_, err = c.Start(t.Context(), server.URL, "r2", openai.EngineRequest{Path: openai.PathCompletions}, 0, true)
 	_, isNotSent := errors.AsType[*NotSentError](err)
 	must.True(t, isNotSent, must.Sprint(err))
 }
