--- a/decide/cursor/cursor.go
+++ b/decide/cursor/cursor.go
@@ -17,28 +17,28 @@
 const (
 	formatVersion = 1
 	macBytes      = 16
-	maxField      = 4 << 10 // longest name or text within a cursor
+	maxFieldBytes = 4 << 10 // maximum length of a name or text within a cursor
 )
 
-// Cursor says how much of which answer a caller holds, and what the backup may not hold yet.
+// Cursor records how much of an answer a caller has received, and the part of it that the backup may not have stored yet.
 type Cursor struct {
-	Workspace vaneyoke.WorkspaceID
-	Request   vaneyoke.RequestID
-	Owner     vaneyoke.VMID // where the answer was read
-	Backup    vaneyoke.VMID // where its journal is, "" where there is none
-	Offset    int           // bytes of the answer's text that the caller holds
-	Digest    uint64        // of those bytes
-	TailFrom  vaneyoke.Tokens
-	TailIDs   []vaneyoke.TokenID // tokens that the backup had not confirmed
-	TailAt    int                // offset of the tail's text
-	TailText  []byte
-	Stream    uint64 // digest of the name of the engine's stream that gave the last token, 0 where there is none
+	Workspace    vaneyoke.WorkspaceID
+	Request      vaneyoke.RequestID
+	Owner        vaneyoke.VMID // VM that served the answer
+	Backup       vaneyoke.VMID // VM that stores its journal, "" for none
+	Offset       int           // length in bytes of the text that the caller has received
+	Digest       uint64        // digest of that text
+	TailFrom     vaneyoke.Tokens
+	TailIDs      []vaneyoke.TokenID // tokens that the backup had not confirmed
+	TailTextFrom int                // byte offset of TailText within the answer
+	TailText     []byte
+	Stream       uint64 // digest of the name of the engine's stream that produced the last token, 0 for none
 }
 
-// Digest returns the digest of the text that a caller holds.
-func Digest(text []byte) uint64 { return xxhash.Sum64(text) }
+// TextDigest returns the digest of the text that a caller has received.
+func TextDigest(text []byte) uint64 { return xxhash.Sum64(text) }
 
-// StreamDigest returns the digest of an engine's stream, 0 for none.
+// StreamDigest returns the digest of the name of an engine's stream, 0 for none.
 func StreamDigest(name string) uint64 {
 	if name == "" {
 		return 0
@@ -46,27 +46,27 @@
 	return xxhash.Sum64String(name)
 }
 
-// Keyring holds the fleet's secrets: the first signs, and all are taken in checks, so that they can be rolled.
-type Keyring struct{ macs []*sync.Pool } // of hash.Hash, one pool for each secret
+// Keyring holds the fleet's secrets. The first one signs and all are accepted in verification, so that secrets can be rotated.
+type Keyring struct{ macPools []*sync.Pool } // of hash.Hash, one pool for each secret
 
 const (
-	encodedBytes = 256 // room for a usual cursor
-	macRoom      = sha256.Size
+	typicalBytes = 256 // initial buffer size, enough for a typical cursor
+	fullMACBytes = sha256.Size
 )
 
 // NewKeyring returns a keyring of the given secrets.
-func NewKeyring(keys ...string) *Keyring {
+func NewKeyring(secrets ...string) *Keyring {
 	ring := &Keyring{}
-	for _, key := range keys {
-		sum := sha256.Sum256([]byte("vaneyoke cursor " + key))
-		ring.macs = append(ring.macs, &sync.Pool{New: func() any { return hmac.New(sha256.New, sum[:]) }})
+	for _, secret := range secrets {
+		sum := sha256.Sum256([]byte("vaneyoke cursor " + secret))
+		ring.macPools = append(ring.macPools, &sync.Pool{New: func() any { return hmac.New(sha256.New, sum[:]) }})
 	}
 	return ring
 }
 
-// Encode returns the cursor in the form that callers see.
+// Encode returns the signed text form of a cursor, which callers receive.
 func (k *Keyring) Encode(c Cursor) string {
-	buf := make([]byte, 0, encodedBytes)
+	buf := make([]byte, 0, typicalBytes)
 	buf = append(buf, formatVersion)
 	buf = appendText(buf, string(c.Workspace))
 	buf = appendText(buf, string(c.Request))
@@ -79,10 +79,10 @@
 	for _, id := range c.TailIDs {
 		buf = binary.AppendUvarint(buf, uint64(uint32(id)))
 	}
-	buf = binary.AppendUvarint(buf, uint64(c.TailAt))
+	buf = binary.AppendUvarint(buf, uint64(c.TailTextFrom))
 	buf = appendText(buf, string(c.TailText))
 	buf = binary.LittleEndian.AppendUint64(buf, c.Stream)
-	buf = appendMAC(buf, k.macs[0], buf)
+	buf = appendMAC(buf, k.macPools[0], buf)
 	return base64.RawURLEncoding.EncodeToString(buf)
 }
 
@@ -91,27 +91,27 @@
 	return append(buf, text...)
 }
 
-// appendMAC appends the code that only a holder of the secret can find for data.
-func appendMAC(buf []byte, secret *sync.Pool, data []byte) []byte {
-	h, ok := secret.Get().(hash.Hash)
+// appendMAC appends the truncated HMAC of data; macs is the pool of HMACs of one secret.
+func appendMAC(buf []byte, macs *sync.Pool, data []byte) []byte {
+	h, ok := macs.Get().(hash.Hash)
 	if !ok {
 		return buf
 	}
-	defer secret.Put(h)
+	defer macs.Put(h)
 	h.Reset()
 	_, _ = h.Write(data)
-	var sum [macRoom]byte
+	var sum [fullMACBytes]byte
 	return append(buf, h.Sum(sum[:0])[:macBytes]...)
 }
 
-// Decode checks and reads a cursor that a caller showed.
+// Decode verifies and decodes a cursor that a caller sent.
 func (k *Keyring) Decode(text string) (Cursor, error) {
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || len(raw) <= macBytes || strings.ContainsAny(text, "\r\n") {
 		return Cursor{}, errBadCursor()
 	}
 	data, sum := raw[:len(raw)-macBytes], raw[len(raw)-macBytes:]
-	if !k.signed(data, sum) {
+	if !k.verify(data, sum) {
 		return Cursor{}, errBadCursor()
 	}
 	r := reader{data: data}
@@ -125,9 +125,9 @@
 	return c, nil
 }
 
-func (k *Keyring) signed(data, sum []byte) bool {
-	for _, secret := range k.macs {
-		if hmac.Equal(appendMAC(nil, secret, data), sum) {
+func (k *Keyring) verify(data, sum []byte) bool {
+	for _, macs := range k.macPools {
+		if hmac.Equal(appendMAC(nil, macs, data), sum) {
 			return true
 		}
 	}
@@ -135,10 +135,10 @@
 }
 
 func errBadCursor() error {
-	return vaneyoke.ErrField(vaneyoke.CodeBadRequest, "header.Last-Event-ID", "is no cursor of this fleet")
+	return vaneyoke.ErrField(vaneyoke.CodeBadRequest, "header.Last-Event-ID", "is not a cursor of this fleet")
 }
 
-// reader takes the fields of a cursor off its data.
+// reader decodes the fields of a cursor in order.
 type reader struct {
 	data   []byte
 	failed bool
@@ -162,7 +162,7 @@
 	for range count {
 		c.TailIDs = append(c.TailIDs, vaneyoke.TokenID(uint32(r.number())))
 	}
-	c.TailAt = r.number()
+	c.TailTextFrom = r.number()
 	c.TailText = []byte(r.text())
 	c.Stream = r.digest()
 	return c
@@ -202,7 +202,7 @@
 
 func (r *reader) text() string {
 	n := r.number()
-	if n > maxField || n > len(r.data) {
+	if n > maxFieldBytes || n > len(r.data) {
 		r.failed = true
 		r.data = nil
 		return ""
--- a/decide/cursor/cursor_test.go
+++ b/decide/cursor/cursor_test.go
@@ -9,34 +9,34 @@
 	"github.com/vaneyoke/vaneyoke/decide/cursor"
 )
 
-func full() cursor.Cursor {
+func sampleCursor() cursor.Cursor {
 	return cursor.Cursor{
 		Workspace: "weavers", Request: "r-1", Owner: "vm-1", Backup: "vm-2", Offset: 70, Digest: 1 << 63,
-		TailFrom: 9, TailIDs: []vaneyoke.TokenID{1, 1 << 30}, TailAt: 60, TailText: []byte("é tail"), Stream: 5,
+		TailFrom: 9, TailIDs: []vaneyoke.TokenID{1, 1 << 30}, TailTextFrom: 60, TailText: []byte("é tail"), Stream: 5,
 	}
 }
 
-func TestRoundTripAndRolledKeys(t *testing.T) {
-	old, rolling, rolled := cursor.NewKeyring("old"), cursor.NewKeyring("new", "old"), cursor.NewKeyring("new")
-	for _, ring := range []*cursor.Keyring{old, rolling} {
-		got, err := ring.Decode(old.Encode(full()))
+func TestRoundTripAndKeyRotation(t *testing.T) {
+	old, rotating, rotated := cursor.NewKeyring("old"), cursor.NewKeyring("new", "old"), cursor.NewKeyring("new")
+	for _, ring := range []*cursor.Keyring{old, rotating} {
+		got, err := ring.Decode(old.Encode(sampleCursor()))
 		must.NoError(t, err)
-		must.Eq(t, full(), got)
+		must.Eq(t, sampleCursor(), got)
 	}
-	_, err := rolled.Decode(old.Encode(full()))
+	_, err := rotated.Decode(old.Encode(sampleCursor()))
 	must.EqOp(t, vaneyoke.CodeBadRequest, vaneyoke.CodeOf(err))
-	_, err = rolled.Decode(rolling.Encode(full()))
+	_, err = rotated.Decode(rotating.Encode(sampleCursor()))
 	must.NoError(t, err)
 }
 
-// FuzzDecode looks for marks that are taken although no node wrote them, and for panics.
+// FuzzDecode looks for panics and for cursors that are accepted although no node wrote them.
 func FuzzDecode(f *testing.F) {
 	ring := cursor.NewKeyring("key")
-	good := ring.Encode(full())
+	good := ring.Encode(sampleCursor())
 	f.Add(good)
 	f.Add("")
 	f.Add(good[:len(good)-1])
-	f.Add(cursor.NewKeyring("other").Encode(full()))
+	f.Add(cursor.NewKeyring("other").Encode(sampleCursor()))
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := ring.Decode(text)
 		if err == nil {
@@ -49,6 +49,6 @@
 	ring := cursor.NewKeyring("key")
 	b.ReportAllocs()
 	for b.Loop() {
-		ring.Encode(full())
+		ring.Encode(sampleCursor())
 	}
 }
--- a/decide/cursor/doc.go
+++ b/decide/cursor/doc.go
@@ -1,2 +1,2 @@
-// Package cursor writes and checks the opaque marks by which a caller goes on reading an answer after it lost its connection.
+// Package cursor encodes and verifies the opaque cursors with which a caller resumes reading an answer after its connection was lost.
 package cursor
--- a/shell/failover/mend_test.go
+++ b/shell/failover/mend_test.go
@@ -43,8 +43,8 @@
 		t.Run(name, func(t *testing.T) {
 			d := &journal.Delta{IDs: ids(tc.journal), Text: []byte(tc.journal), Stream: &journal.Stream{Name: "s1"}}
 			good := mend(d, &cursor.Cursor{
-				Offset: len(tc.held), Digest: cursor.Digest([]byte(tc.held)),
-				TailFrom: vaneyoke.Tokens(tc.from), TailIDs: ids(tc.tail), TailAt: tc.from, TailText: []byte(tc.tail),
+				Offset: len(tc.held), Digest: cursor.TextDigest([]byte(tc.held)),
+				TailFrom: vaneyoke.Tokens(tc.from), TailIDs: ids(tc.tail), TailTextFrom: tc.from, TailText: []byte(tc.tail),
 				Stream: cursor.StreamDigest(tc.run),
 			})
 			must.EqOp(t, tc.good, good)
--- a/shell/failover/open.go
+++ b/shell/failover/open.go
@@ -230,18 +230,18 @@
 // mend adds the tokens that only the caller's mark holds, and reports whether the answer is what the caller saw.
 func mend(d *journal.Delta, mark *cursor.Cursor) bool {
 	held := len(d.IDs)
-	if int(mark.TailFrom) <= len(d.IDs) && mark.TailAt <= len(d.Text) {
+	if int(mark.TailFrom) <= len(d.IDs) && mark.TailTextFrom <= len(d.Text) {
 		if skip := len(d.IDs) - int(mark.TailFrom); skip < len(mark.TailIDs) {
 			d.IDs = append(d.IDs[:len(d.IDs):len(d.IDs)], mark.TailIDs[skip:]...)
 		}
-		if skip := len(d.Text) - mark.TailAt; skip < len(mark.TailText) {
+		if skip := len(d.Text) - mark.TailTextFrom; skip < len(mark.TailText) {
 			d.Text = append(d.Text[:len(d.Text):len(d.Text)], mark.TailText[skip:]...)
 		}
 	}
 	if added := len(d.IDs) - held; added > 0 && cursor.StreamDigest(streamName(d)) != mark.Stream {
 		d.Stream = nil // the tail came from another run, whose tokens the journal's run does not go on from
 	}
-	return mark.Offset <= len(d.Text) && cursor.Digest(d.Text[:mark.Offset]) == mark.Digest
+	return mark.Offset <= len(d.Text) && cursor.TextDigest(d.Text[:mark.Offset]) == mark.Digest
 }
 
 // streamName returns the name of a session's run on an engine, "" where it has none.
--- a/shell/failover/reader.go
+++ b/shell/failover/reader.go
@@ -45,7 +45,7 @@
 // skip goes to where the caller stopped; an answer that differs from what the caller holds is told as lost.
 func (r *Reader) skip(mark *cursor.Cursor) error {
 	text := r.relay.Save().Restored.Text
-	if mark.Request != r.session.entry.Request || mark.Offset > len(text) || cursor.Digest(text[:mark.Offset]) != mark.Digest {
+	if mark.Request != r.session.entry.Request || mark.Offset > len(text) || cursor.TextDigest(text[:mark.Offset]) != mark.Digest {
 		r.manager.metrics.Lost.Add(1)
 		return errLost()
 	}
--- a/shell/failover/session.go
+++ b/shell/failover/session.go
@@ -208,7 +208,7 @@
 		r, have := saved.Restored, s.confirmed(saved)
 		c.Stream = cursor.StreamDigest(saved.StreamName)
 		c.Backup = s.backup.VM
-		c.TailFrom, c.TailAt = vaneyoke.Tokens(have.ids), have.text
+		c.TailFrom, c.TailTextFrom = vaneyoke.Tokens(have.ids), have.text
 		c.TailIDs, c.TailText = r.IDs[have.ids:], r.Text[min(have.text, len(r.Text)):]
 	}
 	return s.manager.ring.Encode(c), true
