--- a/decide/membership/doc.go
+++ b/decide/membership/doc.go
@@ -1,2 +1,2 @@
-// Package membership decides, without I/O, which nodes there are and which of them keep a session's journal.
+// Package membership determines which nodes there are, which of them know a session's owner and which stores its journal, without I/O.
 package membership
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -10,23 +10,23 @@
 	"github.com/vaneyoke/vaneyoke/internal/rendezvous"
 )
 
-// homes is the number of nodes that know who owns a session.
-const homes = 2
+// directoryReplicas is the number of nodes that know the owner of a session.
+const directoryReplicas = 2
 
-// Peer is a node as the list of VMs tells of it.
+// Peer is a node, as described by the platform's list of VMs.
 type Peer struct {
 	VM         vaneyoke.VMID
 	DataCentre vaneyoke.DataCentreID
-	Address    string // IP number and port of the peer API
+	Address    string // IP address and port of the peer API
 }
 
-// View is the set of nodes that take part in keeping journals.
+// View is the set of nodes that take part in storing journals.
 type View struct {
 	peers       []Peer
 	dataCentres []vaneyoke.DataCentreID
 }
 
-// NewView returns a view of the given nodes, the own one among them.
+// NewView returns a view of the given nodes, which include the local one.
 func NewView(peers []Peer) *View {
 	v := &View{peers: slices.Clone(peers)}
 	slices.SortFunc(v.peers, func(a, b Peer) int { return cmp.Compare(a.VM, b.VM) })
@@ -55,32 +55,32 @@
 	return v.peers[i], true
 }
 
-// Homes returns the nodes that know who owns a session: one in each of two data centres, or as many as there are.
-// Every node with the same view gives the same answer, and a change of the view moves few sessions.
-func (v *View) Homes(key string) []Peer {
+// DirectoryPeers returns the nodes that know the owner of a session: one in each of two data centres, or, with a single data centre, up to
+// two of its nodes. All nodes with the same view return the same ones, and a change of the view reassigns few sessions.
+func (v *View) DirectoryPeers(key string) []Peer {
 	ranked := slices.Clone(v.dataCentres)
 	slices.SortFunc(ranked, func(a, b vaneyoke.DataCentreID) int { return byScore(key, string(a), string(b)) })
 	var found []Peer
-	for _, dataCentre := range ranked[:min(homes, len(ranked))] {
-		found = append(found, v.best(key, dataCentre))
+	for _, dataCentre := range ranked[:min(directoryReplicas, len(ranked))] {
+		found = append(found, v.bestInDataCentre(key, dataCentre))
 	}
 	if len(found) == 1 && len(v.peers) > 1 {
-		found = append(found, v.second(key, found[0].VM))
+		found = append(found, v.bestExcept(key, found[0].VM))
 	}
 	return found
 }
 
-// best returns the data centre's node with the highest score.
-func (v *View) best(key string, dataCentre vaneyoke.DataCentreID) Peer {
+// bestInDataCentre returns the data centre's node with the highest score.
+func (v *View) bestInDataCentre(key string, dataCentre vaneyoke.DataCentreID) Peer {
 	return v.bestOf(key, func(p Peer) bool { return p.DataCentre == dataCentre })
 }
 
-func (v *View) second(key string, first vaneyoke.VMID) Peer {
+func (v *View) bestExcept(key string, first vaneyoke.VMID) Peer {
 	return v.bestOf(key, func(p Peer) bool { return p.VM != first })
 }
 
-// Backup returns the node for all journals of an owner: one in another data centre, or else on another VM.
-// An owner has one backup, so that what it pushes goes in few calls however many sessions it has.
+// Backup returns the node that stores all journals of an owner: one in another data centre, or else on another VM.
+// An owner has a single backup, so that it can push the changes of many sessions in few calls.
 func (v *View) Backup(owner Peer, avoid []vaneyoke.VMID) (Peer, bool) {
 	key := string(owner.VM)
 	usable := func(p Peer) bool { return p.VM != owner.VM && !slices.Contains(avoid, p.VM) }
--- a/decide/membership/view_test.go
+++ b/decide/membership/view_test.go
@@ -18,26 +18,26 @@
 	return list
 }
 
-func TestHomesAndBackups(t *testing.T) {
-	cases := map[string]struct{ nodes, dataCentres, homes int }{
+func TestDirectoryPeersAndBackup(t *testing.T) {
+	cases := map[string]struct{ nodes, dataCentres, directoryPeers int }{
 		"alone":            {1, 1, 1},
 		"one data centre":  {3, 1, 2},
 		"two data centres": {2, 2, 2},
 		"today":            {7, 3, 2},
-		"letter's size":    {410, 8, 2},
+		"required size":    {410, 8, 2},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			list := peers(tc.nodes, tc.dataCentres)
 			view := membership.NewView(list)
 			for i := range 50 {
-				homes := view.Homes(fmt.Sprint("key", i))
-				must.SliceLen(t, tc.homes, homes)
-				if tc.homes == 2 {
-					must.NotEqOp(t, homes[0].VM, homes[1].VM)
+				directoryPeers := view.DirectoryPeers(fmt.Sprint("key", i))
+				must.SliceLen(t, tc.directoryPeers, directoryPeers)
+				if tc.directoryPeers == 2 {
+					must.NotEqOp(t, directoryPeers[0].VM, directoryPeers[1].VM)
 				}
 				if tc.dataCentres > 1 {
-					must.NotEqOp(t, homes[0].DataCentre, homes[1].DataCentre)
+					must.NotEqOp(t, directoryPeers[0].DataCentre, directoryPeers[1].DataCentre)
 				}
 			}
 			for _, owner := range list {
@@ -52,14 +52,14 @@
 	}
 }
 
-// TestAChangeMovesFewSessions bounds how many keys get other homes when one of many nodes goes.
-func TestAChangeMovesFewSessions(t *testing.T) {
+// TestRemovedNodeMovesFewSessions bounds the number of keys that get other directory peers when one of many nodes is removed.
+func TestRemovedNodeMovesFewSessions(t *testing.T) {
 	const keys, nodes = 2000, 100
 	list := peers(nodes, 4)
 	before, after := membership.NewView(list), membership.NewView(list[1:])
 	moved := 0
 	for i := range keys {
-		a, b := before.Homes(fmt.Sprint(i)), after.Homes(fmt.Sprint(i))
+		a, b := before.DirectoryPeers(fmt.Sprint(i)), after.DirectoryPeers(fmt.Sprint(i))
 		if a[0] != b[0] || a[1] != b[1] {
 			moved++
 		}
--- a/shell/failover/open.go
+++ b/shell/failover/open.go
@@ -60,7 +60,7 @@
 // reserve opens the key at each of its homes in turn, and returns the entries of those that knew it.
 func (m *Manager) reserve(ctx context.Context, key journal.Key, entry journal.Entry) ([]journal.Entry, error) {
 	var existing []journal.Entry
-	for _, p := range m.fleet.View().Homes(homeKey(key)) {
+	for _, p := range m.fleet.View().DirectoryPeers(homeKey(key)) {
 		e, found, err := m.peers.Open(ctx, p, key, entry)
 		if err != nil {
 			m.log.WithFields(logrus.Fields{"peer": p.VM, "error": err}).Warn("open_failed")
@@ -185,7 +185,7 @@
 	if mark != nil && mark.Backup != "" {
 		names = append(names, mark.Backup)
 	}
-	for _, p := range m.fleet.View().Homes(homeKey(key)) {
+	for _, p := range m.fleet.View().DirectoryPeers(homeKey(key)) {
 		names = append(names, p.VM)
 	}
 	return m.peersOf(names)
