--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -128,12 +128,12 @@
 	client := do.MustInvoke[*storeClient](i).http
 	directory := do.MustInvoke[*routes](i)
 	config := mesh.DefaultConfig().InForceWithin(s.Gateway.InForceWithin)
-	config.Small.Wait = s.Gateway.FeedWait
+	config.Small.PollWait = s.Gateway.FeedWait
 	if s.Gateway.FirstStart {
 		config = config.AtFirstStart()
 	}
-	config.Small = config.Small.BackWithin(s.Gateway.BackWithin)
-	config.Reader = config.Reader.BackWithin(s.Gateway.BackWithin)
+	config.Small = config.Small.RecoverWithin(s.Gateway.BackWithin)
+	config.Reader = config.Reader.RecoverWithin(s.Gateway.BackWithin)
 	if s.Gateway.Peers == "" {
 		config.Feed.First, config.Feed.Choices = 0, 0 // it follows nobody
 	}
--- a/shell/mesh/config.go
+++ b/shell/mesh/config.go
@@ -31,10 +31,10 @@
 // DefaultConfig returns the bounds that the nodes start from.
 func DefaultConfig() Config {
 	reader := watch.DefaultConfig()
-	reader.Wait, reader.Slack = 1100*time.Millisecond, 500*time.Millisecond
+	reader.PollWait, reader.PollSlack = 1100*time.Millisecond, 500*time.Millisecond
 	slow := watch.DefaultConfig()
-	slow.Wait, slow.Slack, slow.Gather = 10*time.Second, 500*time.Millisecond, 300*time.Millisecond
-	slow.Pause, slow.First, slow.Most = time.Second, time.Second, 2*time.Second // who knows nobody is offered the tables sooner
+	slow.PollWait, slow.PollSlack, slow.BatchDelay = 10*time.Second, 500*time.Millisecond, 300*time.Millisecond
+	slow.BaseBackoff, slow.MaxListBackoff, slow.MaxBackoff = time.Second, time.Second, 2*time.Second // who knows nobody is offered the tables sooner
 	return Config{
 		Feed: feed.DefaultConfig(), Settle: time.Second, Beat: 250 * time.Millisecond, Stall: 800 * time.Millisecond,
 		Reader: reader, Small: watch.DefaultConfig(), Slow: slow,
@@ -58,7 +58,7 @@
 // the one it follows is cut off from the store has half of it left to find another way.
 func (c Config) InForceWithin(bound time.Duration) Config {
 	c.Feed.OldAge = min(c.Feed.OldAge, bound/2)
-	c.Reader.Wait = min(c.Reader.Wait, max(c.Feed.OldAge-waitMargin, c.Feed.OldAge/2))
+	c.Reader.PollWait = min(c.Reader.PollWait, max(c.Feed.OldAge-waitMargin, c.Feed.OldAge/2))
 	c.Feed.Lead = min(c.Feed.Lead, bound/10)
 	return c
 }
--- a/shell/mesh/node_test.go
+++ b/shell/mesh/node_test.go
@@ -87,7 +87,7 @@
 	config := DefaultConfig()
 	config.Settle, config.Feed.First, config.Feed.Lead, config.Feed.Retry = 20*time.Millisecond, 0, 20*time.Millisecond, 100*time.Millisecond
 	config.Feed.Return, config.Feed.Offer = 200*time.Millisecond, 50*time.Millisecond
-	config.Reader.Wait, config.Reader.Slack, config.Reader.Gather = 40*time.Millisecond, 40*time.Millisecond, 0
+	config.Reader.PollWait, config.Reader.PollSlack, config.Reader.BatchDelay = 40*time.Millisecond, 40*time.Millisecond, 0
 	change(&config)
 	peers := make([]*peer, count)
 	var all []feed.Member
@@ -296,13 +296,13 @@
 // as one of a small fleet may: those that follow it would take its tables for old.
 func TestTimesOfANewFleet(t *testing.T) {
 	n := New(feed.Member{VM: "vm-0", DataCentre: "a"}, DefaultConfig(), NewHub(nil), &source{}, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), logrus.New())
-	must.Less(t, n.config.Feed.OldAge, n.config.Reader.Wait)
-	must.Greater(t, n.config.Feed.OldAge, n.config.Small.Wait)
-	must.EqOp(t, n.config.Reader.Wait, n.times().Wait)
+	must.Less(t, n.config.Feed.OldAge, n.config.Reader.PollWait)
+	must.Greater(t, n.config.Feed.OldAge, n.config.Small.PollWait)
+	must.EqOp(t, n.config.Reader.PollWait, n.times().PollWait)
 	n.settled.Store(true)
-	must.EqOp(t, n.config.Small.Wait, n.times().Wait)
+	must.EqOp(t, n.config.Small.PollWait, n.times().PollWait)
 	n.SetMembers([]feed.Member{{VM: "vm-0"}, {VM: "vm-1"}})
-	must.EqOp(t, n.config.Reader.Wait, n.times().Wait)
+	must.EqOp(t, n.config.Reader.PollWait, n.times().PollWait)
 }
 
 // TestTimesLeaveRoomWithinTheBound holds that a reader's confirmations come before its tables count as old, and that a node
@@ -310,7 +310,7 @@
 func TestTimesLeaveRoomWithinTheBound(t *testing.T) {
 	for _, bound := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Minute} {
 		config := DefaultConfig().InForceWithin(bound)
-		must.Greater(t, config.Reader.Wait, config.Feed.OldAge, must.Sprint(bound))
+		must.Greater(t, config.Reader.PollWait, config.Feed.OldAge, must.Sprint(bound))
 		must.LessEq(t, bound*2/3, config.Feed.OldAge+config.Feed.Lead, must.Sprint(bound))
 	}
 	must.Eq(t, DefaultConfig(), DefaultConfig().InForceWithin(3*time.Second))
--- a/shell/mesh/read.go
+++ b/shell/mesh/read.go
@@ -12,7 +12,7 @@
 
 // read follows the store's tables until ctx ends.
 func (r *runner) read(ctx context.Context, reading feed.Reading) {
-	turns := watch.NewTurns()
+	turns := watch.NewRetryGate()
 	for name := range r.hub.tables {
 		if reading == feed.ReadNothing || reading == feed.ReadMembers && name != r.config.Members {
 			continue
@@ -32,7 +32,7 @@
 }
 
 // follower returns a follower of one of the store's tables, which goes on from what the hub holds.
-func (n *Node) follower(ctx context.Context, name string, reading feed.Reading, turns *watch.Turns) *watch.Follower {
+func (n *Node) follower(ctx context.Context, name string, reading feed.Reading, turns *watch.RetryGate) *watch.Follower {
 	t := n.hub.tables[name]
 	times := func() watch.Config {
 		config := n.times()
@@ -40,9 +40,9 @@
 			config = n.config.Slow
 		}
 		if n.config.FirstStart && reading == feed.ReadMembers {
-			config.Gather = n.config.NextLook
+			config.BatchDelay = n.config.NextLook
 		}
-		config.Grace = t.Grace
+		config.RemovalGrace = t.Grace
 		return config
 	}
 	source := &reportedSource{Source: t.Source, failed: func() { n.post(ctx, feed.StoreFailed{}) }}
@@ -61,7 +61,7 @@
 		config = n.config.Small
 	}
 	if n.registeredMembers() == nil {
-		config.Pause, config.First = n.config.Slow.Pause, n.config.Slow.First
+		config.BaseBackoff, config.MaxListBackoff = n.config.Slow.BaseBackoff, n.config.Slow.MaxListBackoff
 	}
 	return config
 }
--- a/shell/mesh/register.go
+++ b/shell/mesh/register.go
@@ -41,14 +41,14 @@
 		return
 	}
 	for range tries {
-		callCtx, cancel := context.WithTimeout(ctx, n.config.Reader.Wait)
+		callCtx, cancel := context.WithTimeout(ctx, n.config.Reader.PollWait)
 		err := n.registry.Put(callCtx, string(n.self.VM), entry)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		n.log.WithField("error", err).Warn("register_failed")
-		pause.For(ctx, n.config.Reader.Pause)
+		pause.For(ctx, n.config.Reader.BaseBackoff)
 	}
 }
 
--- a/shell/mesh/silence_test.go
+++ b/shell/mesh/silence_test.go
@@ -54,7 +54,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				done := make(chan struct{})
 				go func() {
-					watch.New(name, source, func() watch.Config { return times }, watch.NewTurns(), sink, log).Run(ctx)
+					watch.New(name, source, func() watch.Config { return times }, watch.NewRetryGate(), sink, log).Run(ctx)
 					close(done)
 				}()
 				time.Sleep(silent + 20*time.Second)
--- a/shell/mesh/tidy.go
+++ b/shell/mesh/tidy.go
@@ -80,7 +80,7 @@
 	if !ok || vm == n.self.VM || n.Old() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), n.config.Stall+n.config.Reader.Wait)
+	ctx, cancel := context.WithTimeout(context.Background(), n.config.Stall+n.config.Reader.PollWait)
 	defer cancel()
 	if !n.answers(ctx, m) || n.isEarlier(ctx, m) {
 		n.takeOff(ctx, string(vm))
@@ -104,7 +104,7 @@
 	if !ok || !found {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, n.config.Reader.Wait)
+	ctx, cancel := context.WithTimeout(ctx, n.config.Reader.PollWait)
 	defer cancel()
 	err := n.registry.Remove(ctx, vm, row.Version)
 	n.log.WithFields(logrus.Fields{"peer": vm, "error": err}).Info("member_taken_off")
--- a/shell/mesh/tidy_test.go
+++ b/shell/mesh/tidy_test.go
@@ -87,7 +87,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	config := DefaultConfig()
-	config.Check, config.GoneAfter, config.Reader.Pause = 5*time.Millisecond, 20*time.Millisecond, time.Millisecond
+	config.Check, config.GoneAfter, config.Reader.BaseBackoff = 5*time.Millisecond, 20*time.Millisecond, time.Millisecond
 	start := func(self feed.Member, known []feed.Member) *removed {
 		registry := &removed{rows: map[string]watch.Version{}}
 		hub := NewHub(map[string]Table{"members": {Apply: func(time.Time, watch.Rows) {}, MayLag: true}})
--- a/shell/watch/doc.go
+++ b/shell/watch/doc.go
@@ -1,2 +1,2 @@
-// Package watch follows the rows of a table in the store, through outages and lost history.
+// Package watch keeps a copy of a table in the store up to date, through outages and the loss of its change history.
 package watch
--- a/shell/watch/watch_test.go
+++ b/shell/watch/watch_test.go
@@ -14,7 +14,7 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// rows are a table's rows as text.
+// rows holds a table's rows as text.
 type rows map[string]string
 
 func (r rows) raw() watch.Rows {
@@ -25,7 +25,7 @@
 	return raw
 }
 
-// Set takes in what a follower tells.
+// Set replaces the rows by those of a follower.
 func (r rows) Set(_ time.Time, raw watch.Rows, _ watch.Version) {
 	clear(r)
 	for k, v := range raw {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Confirm is of no interest here.
+// Confirm does nothing.
 func (r rows) Confirm(time.Time, watch.Version) {}
 
 // step is one answer of a scripted source.
@@ -42,20 +42,20 @@
 	changes []watch.Change
 	version watch.Version
 	err     error
-	hang    bool // until the caller gives up
+	hang    bool // until the caller's context ends
 }
 
-// script answers calls in turn, and then waits for good.
-type script struct {
+// scriptedSource answers calls from a list of steps, and hangs after the last one.
+type scriptedSource struct {
 	t     *testing.T
 	steps []step
-	after []watch.Version // versions from which changes were asked for
-	waits []time.Duration // for which changes were waited for
+	after []watch.Version // versions after which changes were requested
+	waits []time.Duration // of the calls for changes
 }
 
 var errDown = errors.New("down")
 
-func (s *script) next(ctx context.Context) (step, error) {
+func (s *scriptedSource) next(ctx context.Context) (step, error) {
 	if len(s.steps) == 0 {
 		<-ctx.Done()
 		return step{}, ctx.Err()
@@ -69,19 +69,19 @@
 	return st, st.err
 }
 
-func (s *script) List(ctx context.Context) (watch.Rows, watch.Version, error) {
+func (s *scriptedSource) List(ctx context.Context) (watch.Rows, watch.Version, error) {
 	st, err := s.next(ctx)
 	return st.list.raw(), st.version, err
 }
 
-func (s *script) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
+func (s *scriptedSource) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
 	s.after = append(s.after, after)
 	s.waits = append(s.waits, wait)
 	st, err := s.next(ctx)
 	return st.changes, st.version, err
 }
 
-// TestFollower runs through outages and lost history on a clock of its own.
+// TestFollower follows a table through changes, outages and lost history, on a simulated clock.
 func TestFollower(t *testing.T) {
 	list := func() rows { return rows{"a": "1", "b": "2"} }
 	cases := map[string]struct {
@@ -91,18 +91,18 @@
 	}{
 		"list":           {[]step{{list: list(), version: 5}}, list(), []watch.Version{5}},
 		"change":         {[]step{{list: list(), version: 5}, {changes: []watch.Change{{Key: "a", Row: watch.Row{Data: []byte("3")}}}, version: 8}}, rows{"a": "3", "b": "2"}, []watch.Version{5, 8}},
-		"removal":        {[]step{{list: list(), version: 5}, {changes: []watch.Change{{Key: "b", Gone: true}}, version: 8}}, rows{"a": "1"}, []watch.Version{5, 8}},
+		"removal":        {[]step{{list: list(), version: 5}, {changes: []watch.Change{{Key: "b", Removed: true}}, version: 8}}, rows{"a": "1"}, []watch.Version{5, 8}},
 		"quiet":          {[]step{{list: list(), version: 5}, {version: 9}}, list(), []watch.Version{5, 9}},
 		"older version":  {[]step{{list: list(), version: 5}, {version: 3}}, list(), []watch.Version{5, 5}},
 		"down at first":  {[]step{{err: errDown}, {hang: true}, {list: list(), version: 5}}, list(), []watch.Version{5}},
-		"down later":     {[]step{{list: list(), version: 5}, {err: errDown}, {hang: true}, {changes: []watch.Change{{Key: "a", Gone: true}}, version: 6}}, rows{"b": "2"}, []watch.Version{5, 5, 5, 6}},
+		"down later":     {[]step{{list: list(), version: 5}, {err: errDown}, {hang: true}, {changes: []watch.Change{{Key: "a", Removed: true}}, version: 6}}, rows{"b": "2"}, []watch.Version{5, 5, 5, 6}},
 		"history lost":   {[]step{{list: list(), version: 5}, {err: watch.ErrHistoryLost}, {list: rows{"c": "4"}, version: 9}}, rows{"c": "4"}, []watch.Version{5, 9}},
 		"down, then 410": {[]step{{list: list(), version: 5}, {err: errDown}, {err: watch.ErrHistoryLost}, {err: errDown}, {list: rows{"c": "4"}, version: 9}}, rows{"c": "4"}, []watch.Version{5, 5, 9}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				source := &script{t: t, steps: tc.steps}
+				source := &scriptedSource{t: t, steps: tc.steps}
 				must.Eq(t, tc.want, run(t, source, watch.DefaultConfig, func(*watch.Follower) {}, 15*time.Second))
 				must.Eq(t, tc.after, source.after[:len(tc.after)])
 			})
@@ -110,8 +110,9 @@
 	}
 }
 
-// TestFirstLookIsNotPutOff has the store down for a while, on a clock of its own, before anything is known of a table.
-func TestFirstLookIsNotPutOff(t *testing.T) {
+// TestFirstListIsRetriedSoonAfterOutage starts a follower while the store is down, on a simulated clock: as long as nothing is
+// known of the table, the backoff must stay short enough for a list soon after the outage, at a bounded number of calls.
+func TestFirstListIsRetriedSoonAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &outage{until: time.Now().Add(10 * time.Second)}
 		log := logrus.New()
@@ -119,29 +120,29 @@
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
-			watch.New("rows", source, watch.DefaultConfig, watch.NewTurns(), rows{}, log).Run(ctx)
+			watch.New("rows", source, watch.DefaultConfig, watch.NewRetryGate(), rows{}, log).Run(ctx)
 			close(done)
 		}()
-		time.Sleep(15 * time.Second) // of the clock of its own
+		time.Sleep(15 * time.Second) // on the simulated clock
 		stop()
 		<-done
-		must.LessEq(t, 250*time.Millisecond, source.listed.Sub(source.until))
-		must.LessEq(t, 10*8+4, source.refused) // each call has its price
+		must.LessEq(t, 250*time.Millisecond, source.listedAt.Sub(source.until))
+		must.LessEq(t, 10*8+4, source.failedCalls) // every call to the store has a cost
 	})
 }
 
-// outage is a source that is down up to a time.
+// outage is a source that is down until a given time.
 type outage struct {
-	until, listed time.Time
-	refused       int
+	until, listedAt time.Time
+	failedCalls     int
 }
 
 func (o *outage) List(context.Context) (watch.Rows, watch.Version, error) {
 	if time.Now().Before(o.until) {
-		o.refused++
+		o.failedCalls++
 		return nil, 0, errDown
 	}
-	o.listed = time.Now()
+	o.listedAt = time.Now()
 	return watch.Rows{}, 1, nil
 }
 
@@ -150,8 +151,8 @@
 	return nil, 0, ctx.Err()
 }
 
-// TestResumedFollower goes on from rows that it was given: it lists nothing, asks at once whether they are the newest, and
-// lists again only where the history is gone.
+// TestResumedFollower starts a follower from given rows: it lists nothing, asks at once for later changes, and lists again
+// only if the history is lost.
 func TestResumedFollower(t *testing.T) {
 	cases := map[string]struct {
 		steps []step
@@ -165,7 +166,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				source := &script{t: t, steps: tc.steps}
+				source := &scriptedSource{t: t, steps: tc.steps}
 				resume := func(f *watch.Follower) { f.Resume(rows{"a": "1", "b": "2"}.raw(), 5) }
 				must.Eq(t, tc.want, run(t, source, watch.DefaultConfig, resume, time.Second))
 				must.Eq(t, tc.after, source.after)
@@ -176,67 +177,67 @@
 	}
 }
 
-// run follows a source on a clock of its own for a while, after set has had its way with the follower.
-func run(t *testing.T, source watch.Source, config func() watch.Config, set func(*watch.Follower), while time.Duration) rows {
+// run follows a source for a while on the simulated clock, after calling configure with the follower.
+func run(t *testing.T, source watch.Source, config func() watch.Config, configure func(*watch.Follower), duration time.Duration) rows {
 	t.Helper()
 	got := rows{}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := watch.New("rows", source, config, watch.NewTurns(), got, log)
-	set(f)
+	f := watch.New("rows", source, config, watch.NewRetryGate(), got, log)
+	configure(f)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		f.Run(ctx)
 		close(done)
 	}()
-	time.Sleep(while)
+	time.Sleep(duration)
 	stop()
 	<-done
 	return got
 }
 
-// lapsing is a source whose rows lapse while it is down; what writes them does so again some time after its return.
-type lapsing struct {
-	began    time.Time
-	down     time.Duration // how long it is down, from one second on
-	back     time.Duration // after its return, when the row "returns" is there again; 0 for never
-	listOnly bool          // whether it has lost its history
+// expiringSource is a source whose rows expire during an outage; one of them may be written again some time after it.
+type expiringSource struct {
+	start          time.Time
+	outage         time.Duration // length of the outage, which starts after one second
+	rewrittenAfter time.Duration // from the end of the outage until the row "returns" is written again; 0 for never
+	historyLost    bool          // whether the outage loses the history
 }
 
-func (s *lapsing) now() time.Duration { return time.Since(s.began) }
+func (s *expiringSource) now() time.Duration { return time.Since(s.start) }
 
-func (s *lapsing) isDown() bool { return s.now() >= time.Second && s.now() < time.Second+s.down }
+func (s *expiringSource) down() bool { return s.now() >= time.Second && s.now() < time.Second+s.outage }
 
-func (s *lapsing) returned() bool {
-	return s.back > 0 && s.now() >= time.Second+s.down+s.back
+func (s *expiringSource) rewritten() bool {
+	return s.rewrittenAfter > 0 && s.now() >= time.Second+s.outage+s.rewrittenAfter
 }
 
-func (s *lapsing) List(context.Context) (watch.Rows, watch.Version, error) {
+func (s *expiringSource) List(context.Context) (watch.Rows, watch.Version, error) {
 	switch {
-	case s.isDown():
+	case s.down():
 		return nil, 0, errDown
 	case s.now() < time.Second:
 		return rows{"stays": "1", "returns": "1", "goes": "1"}.raw(), 5, nil
-	case s.returned():
+	case s.rewritten():
 		return rows{"stays": "1", "returns": "1"}.raw(), 8, nil
 	default:
 		return rows{"stays": "1"}.raw(), 7, nil
 	}
 }
 
-func (s *lapsing) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
+func (s *expiringSource) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
 	for end := s.now() + wait; ; time.Sleep(10 * time.Millisecond) {
 		switch {
 		case ctx.Err() != nil:
 			return nil, 0, ctx.Err()
-		case s.isDown():
+		case s.down():
 			return nil, 0, errDown
-		case s.now() >= time.Second && after < 7 && s.listOnly:
+		case s.now() >= time.Second && after < 7 && s.historyLost:
 			return nil, 0, watch.ErrHistoryLost
 		case s.now() >= time.Second && after < 7:
-			return []watch.Change{{Key: "returns", Gone: true}, {Key: "goes", Gone: true}}, 7, nil
-		case s.returned() && after < 8:
+			return []watch.Change{{Key: "returns", Removed: true}, {Key: "goes", Removed: true}}, 7, nil
+		case s.rewritten() && after < 8:
 			return []watch.Change{{Key: "returns", Row: watch.Row{Data: []byte("1")}}}, 8, nil
 		case s.now() >= end:
 			return nil, after, nil
@@ -244,34 +245,34 @@
 	}
 }
 
-// TestRowsThatLapsedInAnOutage has the store come back without rows that will be there again soon: they are kept for the
-// grace and no longer, and rows that go without an outage go at once.
-func TestRowsThatLapsedInAnOutage(t *testing.T) {
+// TestRowsExpiredDuringOutageAreKeptForGracePeriod ends an outage after which rows are missing that will be written again soon: they
+// are kept for the grace period and no longer, while rows removed without an outage go at once.
+func TestRowsExpiredDuringOutageAreKeptForGracePeriod(t *testing.T) {
 	cases := map[string]struct {
-		source lapsing
-		at     time.Duration // after the return
+		source expiringSource
+		at     time.Duration // after the outage
 		want   rows
 	}{
-		"just back":              {lapsing{down: 5 * time.Second}, time.Second, rows{"stays": "1", "returns": "1", "goes": "1"}},
-		"after the grace":        {lapsing{down: 5 * time.Second}, 4 * time.Second, rows{"stays": "1"}},
-		"one is there again":     {lapsing{down: 5 * time.Second, back: 1200 * time.Millisecond}, 4 * time.Second, rows{"stays": "1", "returns": "1"}},
-		"history lost":           {lapsing{down: 5 * time.Second, listOnly: true}, time.Second, rows{"stays": "1", "returns": "1", "goes": "1"}},
-		"history lost, grace":    {lapsing{down: 5 * time.Second, listOnly: true}, 4 * time.Second, rows{"stays": "1"}},
-		"no outage":              {lapsing{}, 500 * time.Millisecond, rows{"stays": "1"}},
-		"a moment without store": {lapsing{down: 300 * time.Millisecond}, 700 * time.Millisecond, rows{"stays": "1"}},
+		"just back":                            {expiringSource{outage: 5 * time.Second}, time.Second, rows{"stays": "1", "returns": "1", "goes": "1"}},
+		"after the grace period":               {expiringSource{outage: 5 * time.Second}, 4 * time.Second, rows{"stays": "1"}},
+		"one is written again":                 {expiringSource{outage: 5 * time.Second, rewrittenAfter: 1200 * time.Millisecond}, 4 * time.Second, rows{"stays": "1", "returns": "1"}},
+		"history lost":                         {expiringSource{outage: 5 * time.Second, historyLost: true}, time.Second, rows{"stays": "1", "returns": "1", "goes": "1"}},
+		"history lost, after the grace period": {expiringSource{outage: 5 * time.Second, historyLost: true}, 4 * time.Second, rows{"stays": "1"}},
+		"no outage":                            {expiringSource{}, 500 * time.Millisecond, rows{"stays": "1"}},
+		"short outage":                         {expiringSource{outage: 300 * time.Millisecond}, 700 * time.Millisecond, rows{"stays": "1"}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				source := tc.source
-				source.began = time.Now()
+				source.start = time.Now()
 				config := func() watch.Config {
 					c := watch.DefaultConfig()
-					c.Grace = 2 * time.Second
+					c.RemovalGrace = 2 * time.Second
 					return c
 				}
-				asIs := func(*watch.Follower) {}
-				must.Eq(t, tc.want, run(t, &source, config, asIs, time.Second+source.down+tc.at))
+				unchanged := func(*watch.Follower) {}
+				must.Eq(t, tc.want, run(t, &source, config, unchanged, time.Second+source.outage+tc.at))
 			})
 		})
 	}
