--- a/api/callerapi/auth.go
+++ b/api/callerapi/auth.go
@@ -26,7 +26,7 @@
 		return vaneyoke.Workspace{}, vaneyoke.Err(vaneyoke.CodeNoKey, "the Authorization header holds no bearer key")
 	}
 	snapshot := a.directory.Current()
-	holder, ok := snapshot.Holder(key)
+	holder, ok := snapshot.Principal(key)
 	if !ok {
 		return vaneyoke.Workspace{}, vaneyoke.Err(vaneyoke.CodeUnknownKey, "the bearer key is unknown or revoked")
 	}
@@ -37,7 +37,7 @@
 	return workspace, nil
 }
 
-func mayCall(holder catalog.Holder) error {
+func mayCall(holder catalog.Principal) error {
 	if holder.Role == vaneyoke.RoleCaller {
 		return nil
 	}
--- a/api/operatorapi/api.go
+++ b/api/operatorapi/api.go
@@ -67,23 +67,23 @@
 var ranks = []vaneyoke.Role{vaneyoke.RoleCaller, vaneyoke.RoleViewer, vaneyoke.RoleOperator, vaneyoke.RoleAdministrator}
 
 // allow returns whom the key speaks for, if its role suffices.
-func (a *API) allow(c Caller, least vaneyoke.Role) (catalog.Holder, error) {
+func (a *API) allow(c Caller, least vaneyoke.Role) (catalog.Principal, error) {
 	key, ok := strings.CutPrefix(c.Authorization, "Bearer ")
 	if !ok || key == "" {
-		return catalog.Holder{}, vaneyoke.Err(vaneyoke.CodeNoKey, "the Authorization header holds no bearer key")
+		return catalog.Principal{}, vaneyoke.Err(vaneyoke.CodeNoKey, "the Authorization header holds no bearer key")
 	}
-	holder, ok := a.follower.Current().Holder(key)
+	holder, ok := a.follower.Current().Principal(key)
 	if !ok {
-		return catalog.Holder{}, vaneyoke.Err(vaneyoke.CodeUnknownKey, "the bearer key is unknown or revoked")
+		return catalog.Principal{}, vaneyoke.Err(vaneyoke.CodeUnknownKey, "the bearer key is unknown or revoked")
 	}
 	if slices.Index(ranks, holder.Role) < slices.Index(ranks, least) {
-		return catalog.Holder{}, vaneyoke.Err(vaneyoke.CodeForbidden, "the role %s does not allow this, %s does", holder.Role, least)
+		return catalog.Principal{}, vaneyoke.Err(vaneyoke.CodeForbidden, "the role %s does not allow this, %s does", holder.Role, least)
 	}
 	return holder, nil
 }
 
 // within returns an error where an operator's rights do not reach all of the named workspaces; nil names every workspace.
-func within(holder catalog.Holder, workspaces []string) error {
+func within(holder catalog.Principal, workspaces []string) error {
 	if holder.Scope == nil {
 		return nil
 	}
@@ -126,9 +126,9 @@
 }
 
 // commit makes a change and answers once it is accepted.
-func (a *API) commit(ctx context.Context, holder catalog.Holder, c Changer, action string, change catalog.Change) (*Accepted, error) {
-	note := catalog.Note{Actor: actor(holder), Action: action, Once: c.Once}
-	revision, err := catalog.ApplyNoted(ctx, a.table, time.Now(), note, change)
+func (a *API) commit(ctx context.Context, holder catalog.Principal, c Changer, action string, change catalog.Change) (*Accepted, error) {
+	note := catalog.AuditInfo{Actor: actor(holder), Action: action, IdempotencyKey: c.Once}
+	revision, err := catalog.ApplyAudited(ctx, a.table, time.Now(), note, change)
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &Accepted{ETag: etag(change.Seen + 1)}
+	out := &Accepted{ETag: etag(change.ExpectedVersion + 1)}
 	out.Body.Revision = revision
 	out.Body.Nodes = len(a.follower.Current().Nodes)
 	for _, r := range have {
@@ -154,7 +154,7 @@
 const actorHashLetters = 8
 
 // actor names the holder of a key without telling the key.
-func actor(h catalog.Holder) string {
+func actor(h catalog.Principal) string {
 	return string(h.Workspace) + "/" + string(h.Role) + "/" + string(h.Hash[:actorHashLetters])
 }
 
--- a/api/operatorapi/fleet.go
+++ b/api/operatorapi/fleet.go
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithTimeout(ctx, statusWait)
 	defer cancel()
 	current := a.follower.Current()
-	_, have := a.follower.InForce(ctx, current.Revision)
+	_, have := a.follower.ActiveRevisions(ctx, current.Revision)
 	newest := lo.Max(append(lo.Values(have), current.Revision))
 	out := &statusOutput{}
 	out.Body.Revision = current.Revision
--- a/api/operatorapi/policies.go
+++ b/api/operatorapi/policies.go
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	value := catalog.Policy{Name: in.Name, Text: in.Body.Text, By: actor(holder), At: time.Now()}
-	change := catalog.Change{Partition: catalog.PartitionPolicies, ID: in.Name, Value: value, Seen: seen}
+	change := catalog.Change{Partition: catalog.PartitionPolicies, ID: in.Name, Value: value, ExpectedVersion: seen}
 	return a.commit(ctx, holder, in.Changer, "put policy "+in.Name, change)
 }
 
@@ -159,7 +159,7 @@
 	} else if seen > 0 {
 		version = seen
 	}
-	change := catalog.Change{Partition: catalog.PartitionPolicies, ID: in.Name, Seen: version}
+	change := catalog.Change{Partition: catalog.PartitionPolicies, ID: in.Name, ExpectedVersion: version}
 	return a.commit(ctx, holder, in.Changer, "withdraw policy "+in.Name, change)
 }
 
--- a/api/operatorapi/upstreams.go
+++ b/api/operatorapi/upstreams.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, Seen: seen}
+	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, ExpectedVersion: seen}
 	return a.commit(ctx, holder, in.Changer, "put upstream "+string(u.ID), change)
 }
 
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(in.ID), Seen: version}
+	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(in.ID), ExpectedVersion: version}
 	return a.commit(ctx, holder, in.Changer, "remove upstream "+string(in.ID), change)
 }
 
@@ -128,6 +128,6 @@
 		return nil, err
 	}
 	u.State = state
-	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, Seen: version}
+	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, ExpectedVersion: version}
 	return a.commit(ctx, holder, in.Changer, action+string(u.ID), change)
 }
--- a/api/operatorapi/workspaces.go
+++ b/api/operatorapi/workspaces.go
@@ -111,7 +111,7 @@
 }
 
 func workspaceChange(w vaneyoke.Workspace, seen store.Version) catalog.Change {
-	return catalog.Change{Partition: catalog.PartitionWorkspaces, ID: string(w.ID), Value: w, Seen: seen}
+	return catalog.Change{Partition: catalog.PartitionWorkspaces, ID: string(w.ID), Value: w, ExpectedVersion: seen}
 }
 
 func (a *API) createKey(ctx context.Context, in *keyInput) (*keyOutput, error) {
--- a/process/node/roster.go
+++ b/process/node/roster.go
@@ -22,7 +22,7 @@
 	peers    *peer.Client
 	balancer *balancer.Balancer
 	follower *catalog.Follower
-	members  *catalog.Members
+	members  *catalog.MembershipManager
 	period   time.Duration
 	log      logrus.FieldLogger
 	view     atomic.Pointer[membership.View]
@@ -37,7 +37,7 @@
 // follow gives the roster the configuration, which itself is confirmed by the roster's nodes.
 func (r *roster) follow(f *catalog.Follower) {
 	r.follower = f
-	r.members = catalog.NewMembers(f)
+	r.members = catalog.NewMembershipManager(f)
 }
 
 // View returns the nodes that take part.
@@ -71,7 +71,7 @@
 func (r *roster) tend(ctx context.Context, now time.Time, vms []store.VM) {
 	ctx, cancel := context.WithTimeout(ctx, r.period)
 	defer cancel()
-	r.members.Tend(ctx, now, vms)
+	r.members.Reconcile(ctx, now, vms)
 }
 
 // read takes in the list; without an answer the last one stands.
--- a/shell/catalog/accept.go
+++ b/shell/catalog/accept.go
@@ -18,9 +18,9 @@
 func (f *Follower) AwaitAccepted(ctx context.Context, revision vaneyoke.Revision) (map[vaneyoke.VMID]vaneyoke.Revision, error) {
 	for {
 		if f.Current().Revision < revision {
-			f.Nudge()
+			f.TriggerPoll()
 		}
-		members, have := f.InForce(ctx, revision)
+		members, have := f.ActiveRevisions(ctx, revision)
 		// Whose confirmation counts is told by the revision itself, so the own node has to have it first.
 		if have[f.self.VM] >= revision && freshness.Accepted(members, have, revision) {
 			return have, nil
@@ -31,8 +31,8 @@
 	}
 }
 
-// InForce asks all members once which revision they have in force; they are told of the given one.
-func (f *Follower) InForce(ctx context.Context, revision vaneyoke.Revision) ([]vaneyoke.VMID, map[vaneyoke.VMID]vaneyoke.Revision) {
+// ActiveRevisions asks all members once which revision they have in force; they are told of the given one.
+func (f *Follower) ActiveRevisions(ctx context.Context, revision vaneyoke.Revision) ([]vaneyoke.VMID, map[vaneyoke.VMID]vaneyoke.Revision) {
 	current := f.Current()
 	members := current.Members()
 	have := map[vaneyoke.VMID]vaneyoke.Revision{f.self.VM: current.Revision}
--- a/shell/catalog/catalog_test.go
+++ b/shell/catalog/catalog_test.go
@@ -23,8 +23,8 @@
 		for i := range rapid.IntRange(1, 60).Draw(t, "changes") {
 			id := fmt.Sprintf("w%d", rapid.IntRange(0, 5).Draw(t, "id"))
 			partition := rapid.SampledFrom([]string{catalog.PartitionWorkspaces, catalog.PartitionUpstreams, catalog.PartitionNodes, catalog.PartitionPolicies}).Draw(t, "partition")
-			change := catalog.Change{Partition: partition, ID: id, Seen: seen[partition+id]}
-			if change.Seen == 0 || rapid.IntRange(0, 3).Draw(t, "put") > 0 {
+			change := catalog.Change{Partition: partition, ID: id, ExpectedVersion: seen[partition+id]}
+			if change.ExpectedVersion == 0 || rapid.IntRange(0, 3).Draw(t, "put") > 0 {
 				change.Value = valueOf(partition, id, i)
 			}
 			_, err := catalog.Apply(ctx, table, change)
--- a/shell/catalog/change.go
+++ b/shell/catalog/change.go
@@ -19,17 +19,17 @@
 
 // Change is one write to the configuration, guarded by the version that its author saw.
 type Change struct {
-	Partition string
-	ID        string
-	Value     any           // nil deletes the row
-	Seen      store.Version // 0 for a row that must not exist
+	Partition       string
+	ID              string
+	Value           any           // nil deletes the row
+	ExpectedVersion store.Version // 0 for a row that must not exist
 }
 
-// Note says who made a change and why it is made; it goes into the audit trail.
-type Note struct {
-	Actor  string
-	Action string
-	Once   string // the author's own key for the change, "" for none
+// AuditInfo says who made a change and why it is made; it goes into the audit trail.
+type AuditInfo struct {
+	Actor          string
+	Action         string
+	IdempotencyKey string // the author's own key for the change, "" for none
 }
 
 // AuditEntry is one accepted change in the audit trail.
@@ -43,11 +43,11 @@
 // Apply commits changes together with the next revision, and returns that revision.
 // A row that is not as its author saw it is told with CodeConflict, and a change whose outcome is not known with CodeStoreUnknown.
 func Apply(ctx context.Context, table store.Table, changes ...Change) (vaneyoke.Revision, error) {
-	return ApplyNoted(ctx, table, time.Now(), Note{}, changes...)
+	return ApplyAudited(ctx, table, time.Now(), AuditInfo{}, changes...)
 }
 
-// ApplyNoted is Apply with an entry in the audit trail; a change with the same key of its author is made once.
-func ApplyNoted(ctx context.Context, table store.Table, now time.Time, note Note, changes ...Change) (vaneyoke.Revision, error) {
+// ApplyAudited is Apply with an entry in the audit trail; a change with the same key of its author is made once.
+func ApplyAudited(ctx context.Context, table store.Table, now time.Time, note AuditInfo, changes ...Change) (vaneyoke.Revision, error) {
 	for range applyTries {
 		revision, err := applyOnce(ctx, table, now, note, changes)
 		if vaneyoke.CodeOf(err) != vaneyoke.CodeStoreRace {
@@ -63,7 +63,7 @@
 	return 0, vaneyoke.Err(vaneyoke.CodeStoreRace, "too many changes at once")
 }
 
-func applyOnce(ctx context.Context, table store.Table, now time.Time, note Note, changes []Change) (vaneyoke.Revision, error) {
+func applyOnce(ctx context.Context, table store.Table, now time.Time, note AuditInfo, changes []Change) (vaneyoke.Revision, error) {
 	revision, err := ReadRevision(ctx, table)
 	if err != nil {
 		return 0, err
@@ -93,14 +93,14 @@
 }
 
 // changes returns the rows that a note adds to a transaction.
-func (n Note) changes(now time.Time, revision vaneyoke.Revision) []Change {
+func (n AuditInfo) changes(now time.Time, revision vaneyoke.Revision) []Change {
 	if n.Actor == "" {
 		return nil
 	}
 	entry := AuditEntry{Revision: revision, Actor: n.Actor, Action: n.Action, At: now}
 	list := []Change{{Partition: PartitionAudit, ID: auditID(revision), Value: entry}}
-	if n.Once != "" {
-		list = append(list, Change{Partition: PartitionOnce, ID: n.onceID(), Value: entry})
+	if n.IdempotencyKey != "" {
+		list = append(list, Change{Partition: PartitionIdempotencyKeys, ID: n.onceID(), Value: entry})
 	}
 	return list
 }
@@ -108,14 +108,14 @@
 // auditID orders the entries of the audit trail by revision.
 func auditID(revision vaneyoke.Revision) string { return fmt.Sprintf("%020d", revision) }
 
-func (n Note) onceID() string { return n.Actor + "/" + n.Once }
+func (n AuditInfo) onceID() string { return n.Actor + "/" + n.IdempotencyKey }
 
 // made returns the revision of a change that was made before under the same key.
-func made(ctx context.Context, table store.Table, note Note) (vaneyoke.Revision, bool, error) {
-	if note.Once == "" {
+func made(ctx context.Context, table store.Table, note AuditInfo) (vaneyoke.Revision, bool, error) {
+	if note.IdempotencyKey == "" {
 		return 0, false, nil
 	}
-	row, err := table.Get(ctx, store.Key{Partition: PartitionOnce, ID: note.onceID()})
+	row, err := table.Get(ctx, store.Key{Partition: PartitionIdempotencyKeys, ID: note.onceID()})
 	if vaneyoke.CodeOf(err) == vaneyoke.CodeNotFound {
 		return 0, false, nil
 	}
@@ -139,8 +139,8 @@
 		if err != nil && vaneyoke.CodeOf(err) != vaneyoke.CodeNotFound {
 			return err
 		}
-		if row.Version != c.Seen {
-			return vaneyoke.Err(vaneyoke.CodeConflict, "%s %s has version %d and not %d%s", c.Partition, c.ID, row.Version, c.Seen, winner(row))
+		if row.Version != c.ExpectedVersion {
+			return vaneyoke.Err(vaneyoke.CodeConflict, "%s %s has version %d and not %d%s", c.Partition, c.ID, row.Version, c.ExpectedVersion, winner(row))
 		}
 	}
 	return nil
@@ -159,7 +159,7 @@
 
 func (c Change) write() (store.Write, error) {
 	key := store.Key{Partition: c.Partition, ID: c.ID}
-	cond := store.Condition{Version: c.Seen}
+	cond := store.Condition{Version: c.ExpectedVersion}
 	if c.Value == nil {
 		return store.Delete{Key: key, If: cond}, nil
 	}
--- a/shell/catalog/follower.go
+++ b/shell/catalog/follower.go
@@ -76,8 +76,8 @@
 	return f.fresh.Confirms() > 0
 }
 
-// Nudge has the store read at once, because a newer revision is said to exist.
-func (f *Follower) Nudge() {
+// TriggerPoll has the store read at once, because a newer revision is said to exist.
+func (f *Follower) TriggerPoll() {
 	select {
 	case f.nudge <- struct{}{}:
 	default:
@@ -201,7 +201,7 @@
 func (f *Follower) Answer(ctx context.Context, known vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte) {
 	if known > f.Current().Revision {
 		if err := f.readStore(ctx); err != nil {
-			f.Nudge()
+			f.TriggerPoll()
 		}
 	}
 	current := f.Current()
--- a/shell/catalog/member.go
+++ b/shell/catalog/member.go
@@ -13,8 +13,8 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// GoneAfter is how long a member has to be missing from the list of VMs before it is taken for gone for good.
-const GoneAfter = 5 * time.Minute
+// AbsentMemberTimeout is how long a member has to be missing from the list of VMs before it is taken for gone for good.
+const AbsentMemberTimeout = 5 * time.Minute
 
 // Tries to leave, for which a stopping node has a third of its grace and two seconds at the most.
 const (
@@ -22,23 +22,23 @@
 	leavePause = 50 * time.Millisecond  // between two
 )
 
-// Members keeps the list of the nodes whose confirmation counts.
+// MembershipManager keeps the list of the nodes whose confirmation counts.
 //
 // The list is a part of the configuration, and changes by one node at a time, each change only after a majority of the
 // members has the one before: so any two majorities share a node, also across changes. A member that the platform does
 // not list for a long time is taken off without that, because a VM that is gone for good can confirm nobody.
-type Members struct {
+type MembershipManager struct {
 	follower *Follower
 	absent   map[vaneyoke.VMID]time.Time // since when a member is not listed
 }
 
-// NewMembers returns the upkeep of the follower's list.
-func NewMembers(f *Follower) *Members {
-	return &Members{follower: f, absent: map[vaneyoke.VMID]time.Time{}}
+// NewMembershipManager returns the upkeep of the follower's list.
+func NewMembershipManager(f *Follower) *MembershipManager {
+	return &MembershipManager{follower: f, absent: map[vaneyoke.VMID]time.Time{}}
 }
 
-// Tend adds the own node where it is missing, and takes off members that are gone; listed is the platform's list.
-func (m *Members) Tend(ctx context.Context, now time.Time, listed []store.VM) {
+// Reconcile adds the own node where it is missing, and takes off members that are gone; listed is the platform's list.
+func (m *MembershipManager) Reconcile(ctx context.Context, now time.Time, listed []store.VM) {
 	f := m.follower
 	current := f.Current()
 	if current.Revision == 0 {
@@ -54,7 +54,7 @@
 }
 
 // gone returns the members that have not been listed for a long time.
-func (m *Members) gone(now time.Time, members []vaneyoke.VMID, listed []store.VM) []vaneyoke.VMID {
+func (m *MembershipManager) gone(now time.Time, members []vaneyoke.VMID, listed []store.VM) []vaneyoke.VMID {
 	present := lo.Map(listed, func(vm store.VM, _ int) vaneyoke.VMID { return vm.ID })
 	var gone []vaneyoke.VMID
 	for _, vm := range members {
@@ -64,20 +64,20 @@
 			delete(m.absent, vm)
 		case !missing:
 			m.absent[vm] = now
-		case now.Sub(since) >= GoneAfter:
+		case now.Sub(since) >= AbsentMemberTimeout:
 			gone = append(gone, vm)
 		}
 	}
 	return gone
 }
 
-func (m *Members) change(ctx context.Context, event string, act func(context.Context) error) {
+func (m *MembershipManager) change(ctx context.Context, event string, act func(context.Context) error) {
 	if err := act(ctx); err != nil {
 		m.follower.log.WithFields(logrus.Fields{"event": event, "error": err}).Debug("membership_unchanged")
 		return
 	}
 	m.follower.log.WithField("vm", m.follower.self.VM).Info(event)
-	m.follower.Nudge()
+	m.follower.TriggerPoll()
 }
 
 // Join makes the own node a member, once a majority has the present configuration.
@@ -118,6 +118,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = Apply(ctx, f.table, Change{Partition: PartitionNodes, ID: string(vm), Seen: row.Version})
+	_, err = Apply(ctx, f.table, Change{Partition: PartitionNodes, ID: string(vm), ExpectedVersion: row.Version})
 	return err
 }
--- a/shell/catalog/snapshot.go
+++ b/shell/catalog/snapshot.go
@@ -14,14 +14,14 @@
 
 // Partitions of the table that hold the configuration.
 const (
-	PartitionFleet      = "fleet"
-	PartitionUpstreams  = "upstream"
-	PartitionWorkspaces = "workspace"
-	PartitionPolicies   = "policy"
-	PartitionNodes      = "node"
-	PartitionAudit      = "audit"
-	PartitionChanges    = "change"
-	PartitionOnce       = "operator-key"
+	PartitionFleet           = "fleet"
+	PartitionUpstreams       = "upstream"
+	PartitionWorkspaces      = "workspace"
+	PartitionPolicies        = "policy"
+	PartitionNodes           = "node"
+	PartitionAudit           = "audit"
+	PartitionChanges         = "change"
+	PartitionIdempotencyKeys = "operator-key"
 )
 
 // RevisionKey is the row that every accepted change writes.
@@ -31,7 +31,7 @@
 type Snapshot struct {
 	Content
 	byID    map[vaneyoke.WorkspaceID]vaneyoke.Workspace
-	holders map[vaneyoke.KeyHash]Holder
+	holders map[vaneyoke.KeyHash]Principal
 }
 
 // Content is what a snapshot holds, in the form in which nodes tell it to one another.
@@ -57,8 +57,8 @@
 	DataCentre vaneyoke.DataCentreID `json:"data_centre"`
 }
 
-// Holder is whom a key speaks for.
-type Holder struct {
+// Principal is whom a key speaks for.
+type Principal struct {
 	Workspace vaneyoke.WorkspaceID
 	Role      vaneyoke.Role
 	Scope     []vaneyoke.WorkspaceID // that an operator's rights are bound to; nil for all
@@ -76,12 +76,12 @@
 	s := &Snapshot{
 		Content: content,
 		byID:    make(map[vaneyoke.WorkspaceID]vaneyoke.Workspace, len(content.Workspaces)),
-		holders: map[vaneyoke.KeyHash]Holder{},
+		holders: map[vaneyoke.KeyHash]Principal{},
 	}
 	for _, w := range content.Workspaces {
 		s.byID[w.ID] = w
 		for _, k := range w.Keys {
-			s.holders[k.Hash] = Holder{Workspace: w.ID, Role: k.Role, Scope: k.Scope, Hash: k.Hash}
+			s.holders[k.Hash] = Principal{Workspace: w.ID, Role: k.Role, Scope: k.Scope, Hash: k.Hash}
 		}
 	}
 	return s
@@ -98,8 +98,8 @@
 	return lo.Map(s.Nodes, func(n Node, _ int) vaneyoke.VMID { return n.VM })
 }
 
-// Holder returns whom a caller's key speaks for.
-func (s *Snapshot) Holder(key string) (Holder, bool) {
+// Principal returns whom a caller's key speaks for.
+func (s *Snapshot) Principal(key string) (Principal, bool) {
 	h, ok := s.holders[HashKey(key)]
 	return h, ok
 }
--- a/tools/fleet/upstream_leaving_test.go
+++ b/tools/fleet/upstream_leaving_test.go
@@ -81,7 +81,7 @@
 	row, err := f.Platform.Memory.Get(t.Context(), store.Key{Partition: catalog.PartitionUpstreams, ID: string(u.ID)})
 	must.NoError(t, err)
 	revision, err := catalog.Apply(t.Context(), f.Platform.Memory, catalog.Change{
-		Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, Seen: row.Version,
+		Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, ExpectedVersion: row.Version,
 	})
 	must.NoError(t, err)
 	for _, n := range f.Nodes {
