--- a/cmd/vaneyoke/fleet.go
+++ b/cmd/vaneyoke/fleet.go
@@ -167,7 +167,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		holders := lo.Filter(told, func(n nodeBelief, _ int) bool { return n.Leases[name].Held })
-		fence := lo.Max(lo.Map(told, func(n nodeBelief, _ int) lease.Fence { return n.Leases[name].Fence }))
+		fence := lo.Max(lo.Map(told, func(n nodeBelief, _ int) lease.Fence { return n.Leases[name].Token }))
 		fmt.Fprintf(w, "duty       %s: held by %s, token %d\n", name, namesOf(holders), fence)
 	}
 }
--- a/process/node/duties_wire.go
+++ b/process/node/duties_wire.go
@@ -38,7 +38,7 @@
 			t.log.WithFields(logrus.Fields{"key": key, "error": err}).Error("row_unreadable")
 		}
 		if ok && err == nil {
-			t.node.SetTerms(now, terms)
+			t.node.SetScalingConfigs(now, terms)
 		}
 	}
 }
@@ -93,13 +93,13 @@
 // Began counts a request that an upstream began.
 func (b *gatewayPlacer) Began(workspace vaneyoke.WorkspaceID) {
 	if b.duties != nil {
-		b.duties.Began(workspace)
+		b.duties.CountRequest(workspace)
 	}
 }
 
 // Used counts what an attempt took of a service's upstream.
 func (b *gatewayPlacer) Used(service vaneyoke.ServiceID, load capacity.Load) {
 	if b.duties != nil {
-		b.duties.Used(service, load)
+		b.duties.AddLoad(service, load)
 	}
 }
--- a/process/node/gateway.go
+++ b/process/node/gateway.go
@@ -188,7 +188,7 @@
 	until := now.Add(grace)
 	n.StopTaking(now, until)
 	if n.duties != nil {
-		n.duties.Leave()
+		n.duties.ReleaseLeases()
 	}
 	n.log.WithFields(logrus.Fields{"open": n.gateway.Open(), "grace": s.Node.Grace, "lame": s.Gateway.Lame}).Info("node_stopping")
 	pause.For(ctx, min(s.Gateway.Lame, grace))
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -64,7 +64,7 @@
 // Answered notes how an upstream answered.
 func (b *gatewayPlacer) Answered(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
 	if b.rollouts != nil {
-		b.rollouts.Answered(steady.Now(), upstream, route, answer)
+		b.rollouts.RecordAnswer(steady.Now(), upstream, route, answer)
 	}
 }
 
--- a/shell/duties/calls.go
+++ b/shell/duties/calls.go
@@ -94,7 +94,7 @@
 		n.mu.Lock()
 		n.called(steady.Now(), DutyUsage, fence, reply, reply == ReplyRefused)
 		n.mu.Unlock()
-		n.keep(usage.Sent{Window: e.Window, Taken: reply == ReplyTaken})
+		n.keep(usage.Sent{Window: e.Window, Taken: reply == ReplyAccepted})
 	}()
 }
 
@@ -128,7 +128,7 @@
 	switch {
 	case scarce:
 		return capacity.OutcomeNoCapacity
-	case reply == ReplyTaken:
+	case reply == ReplyAccepted:
 		return capacity.OutcomeAccepted
 	default:
 		return capacity.OutcomeUnknown
--- a/shell/duties/fuzz_test.go
+++ b/shell/duties/fuzz_test.go
@@ -51,7 +51,7 @@
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		config := duties.Config{Lease: lease.Config{Term: time.Second, Wait: time.Second / 4}, Usage: usage.Config{Length: time.Second, Late: 4 * time.Second}}
 		n := duties.New("vm-0", 1, config, away{}, away{}, away{}, away{}, http.DefaultClient, duties.NewMetrics(new(expvar.Map).Init()), log)
-		n.SetTerms(time.Unix(1000, 0), []capacity.ScalingConfig{{Service: "lm", Max: 3, Prices: map[vaneyoke.DataCentreID]float64{"a": 1}}})
+		n.SetScalingConfigs(time.Unix(1000, 0), []capacity.ScalingConfig{{Service: "lm", Max: 3, Prices: map[vaneyoke.DataCentreID]float64{"a": 1}}})
 		for range 2 {
 			n.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, duties.Path, bytes.NewReader(body)))
 		}
--- a/shell/duties/metrics.go
+++ b/shell/duties/metrics.go
@@ -21,7 +21,7 @@
 // LeaseView is what a node knows of a lease.
 type LeaseView struct {
 	Holder vaneyoke.VMID `json:"holder"` // as it was last known
-	Fence  lease.Fence   `json:"fence"`
+	Token  lease.Fence   `json:"fence"`
 	Held   bool          `json:"held"` // whether this node holds it
 }
 
@@ -34,7 +34,7 @@
 		for name, d := range n.duties {
 			row, known := d.Row()
 			if _, held := d.Holds(steady.Now()); known {
-				views[name] = LeaseView{Holder: row.Holder, Fence: row.Fence, Held: held}
+				views[name] = LeaseView{Holder: row.Holder, Token: row.Fence, Held: held}
 			}
 		}
 		return views
--- a/shell/duties/node.go
+++ b/shell/duties/node.go
@@ -52,7 +52,7 @@
 
 // The replies.
 const (
-	ReplyTaken    Reply = iota + 1
+	ReplyAccepted Reply = iota + 1
 	ReplyRefused        // it has seen a higher token, or there is nothing to be had
 	ReplyDeclined       // it has done nothing
 	ReplyNone           // there was no answer: it may be carried out later
@@ -142,8 +142,8 @@
 // reportsUsage reports whether usage is counted.
 func (n *Node) reportsUsage() bool { return n.config.Usage.Length > 0 }
 
-// SetTerms takes in the terms on which upstreams are ordered.
-func (n *Node) SetTerms(now time.Time, all []capacity.ScalingConfig) {
+// SetScalingConfigs takes in the terms on which upstreams are ordered.
+func (n *Node) SetScalingConfigs(now time.Time, all []capacity.ScalingConfig) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.ordered)
@@ -160,8 +160,8 @@
 	n.plan.Handle(now, capacity.UpstreamsUpdated{All: all})
 }
 
-// Began counts a request of a workspace that an upstream began.
-func (n *Node) Began(workspace vaneyoke.WorkspaceID) {
+// CountRequest counts a request of a workspace that an upstream began.
+func (n *Node) CountRequest(workspace vaneyoke.WorkspaceID) {
 	if !n.reportsUsage() || workspace == "" {
 		return
 	}
@@ -170,8 +170,8 @@
 	n.tally.Began(usage.At(n.clock.Wall(steady.Now()), n.config.Usage.Length), workspace)
 }
 
-// Used takes in what a request took of a service's upstreams.
-func (n *Node) Used(service vaneyoke.ServiceID, load capacity.Load) {
+// AddLoad takes in what a request took of a service's upstreams.
+func (n *Node) AddLoad(service vaneyoke.ServiceID, load capacity.Load) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ordered[service] {
@@ -193,8 +193,8 @@
 	}
 }
 
-// Leave gives up the leases that the node holds, because it ends.
-func (n *Node) Leave() {
+// ReleaseLeases gives up the leases that the node holds, because it ends.
+func (n *Node) ReleaseLeases() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaving = true
--- a/shell/rollouts/node.go
+++ b/shell/rollouts/node.go
@@ -40,8 +40,8 @@
 	Reads() bool
 }
 
-// Divider divides requests among the versions of a service's upstreams.
-type Divider interface {
+// TrafficSplitter divides requests among the versions of a service's upstreams.
+type TrafficSplitter interface {
 	// SetSplit takes in how a service's requests are divided.
 	SetSplit(service vaneyoke.ServiceID, split rollout.Split)
 	// Running returns the attempts under way by service and version.
@@ -53,7 +53,7 @@
 	self    vaneyoke.VMID
 	store   Store
 	tree    Tree
-	divider Divider
+	divider TrafficSplitter
 	client  *http.Client // for the node above
 	metrics *Metrics
 	log     logrus.FieldLogger
@@ -74,7 +74,7 @@
 }
 
 // New returns a node's part in roll-outs.
-func New(self vaneyoke.VMID, config rollout.Config, store Store, tree Tree, divider Divider, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
+func New(self vaneyoke.VMID, config rollout.Config, store Store, tree Tree, divider TrafficSplitter, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
 	return &Node{
 		self: self, store: store, tree: tree, divider: divider, client: client, metrics: metrics, log: log,
 		woken: make(chan struct{}, 1), state: rollout.New(self, config),
@@ -96,8 +96,8 @@
 	n.handle(now, rollout.UpstreamsUpdated{All: all})
 }
 
-// Answered takes in how an upstream answered a request of this node.
-func (n *Node) Answered(now time.Time, upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
+// RecordAnswer takes in how an upstream answered a request of this node.
+func (n *Node) RecordAnswer(now time.Time, upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.state.Handle(now, rollout.Answered{Upstream: upstream, Route: route, Answer: answer})
