--- a/shell/duties/doc.go
+++ b/shell/duties/doc.go
@@ -1,2 +1,2 @@
-// Package duties carries out what one node at a time does at the platform: it keeps the leases, has nodes hand on what they counted, reports it, and orders upstreams.
+// Package duties runs the tasks that one node at a time performs for the whole fleet: it holds their leases, collects the nodes' usage counts, reports them to the platform, and orders upstreams.
 package duties
--- a/shell/duties/exchange.go
+++ b/shell/duties/exchange.go
@@ -19,116 +19,116 @@
 	"github.com/vaneyoke/vaneyoke/internal/steady"
 )
 
-// Path is where a node takes what those that follow it counted.
+// Path is the HTTP path at which a node receives counts and loads from its child nodes.
 const Path = "/usage-counts"
 
 const (
-	handWait     = 1800 * time.Millisecond // longest wait for the node above, which may wait for the store
-	writtenWait  = 1500 * time.Millisecond // longest wait for the store to hold what was handed on
-	maxHandBytes = 4 << 20
-	mostHandings = 16              // batches in a row, where more waits
-	longestTold  = 2 * time.Second // of a node's load that counts, where it was not told for longer
+	forwardTimeout    = 1800 * time.Millisecond // of a message to the parent node, which may wait for the store
+	batchStoreTimeout = 1500 * time.Millisecond // longest wait until the store holds the batches of a message
+	maxForwardBytes   = 4 << 20
+	maxForwardsInARow = 16              // messages in a row while there is a backlog
+	maxLoadInterval   = 2 * time.Second // a node's load counts for no longer, even if its last message is older
 )
 
-// handed is what a node hands to the one above it.
-type handed struct {
-	Batches []usage.Batch                        `json:"batches,omitempty"`
-	Loads   map[vaneyoke.ServiceID]capacity.Load `json:"loads,omitempty"`
-	Told    time.Duration                        `json:"told,omitempty"` // for which nodes tell their loads, summed up over them
+// forwardMessage holds the counts and loads that a node sends to its parent.
+type forwardMessage struct {
+	Batches  []usage.Batch                        `json:"batches,omitempty"`
+	Loads    map[vaneyoke.ServiceID]capacity.Load `json:"loads,omitempty"`
+	Coverage time.Duration                        `json:"told,omitempty"` // time covered by Loads, summed over the nodes
 }
 
-// ServeHTTP takes what a node that follows this one counted: 200 says that it has been taken over, any other status that it must be offered again.
+// ServeHTTP receives counts and loads from a child node. Status 200 means that they were accepted, any other status that they must be sent again.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var h handed
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHandBytes)).Decode(&h); err != nil {
+	var msg forwardMessage
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxForwardBytes)).Decode(&msg); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !n.take(r.Context(), h) {
+	if !n.accept(r.Context(), msg) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// take takes over what was handed on; the root does so once the store holds it.
-func (n *Node) take(ctx context.Context, h handed) bool {
+// accept takes responsibility for a message's contents; the root does so once the store holds its batches.
+func (n *Node) accept(ctx context.Context, msg forwardMessage) bool {
 	n.mu.Lock()
-	h.Batches = n.soundLocked(h.Batches)
-	n.takeLoadsLocked(h.Loads, h.Told)
+	msg.Batches = n.validBatchesLocked(msg.Batches)
+	n.addLoadsLocked(msg.Loads, msg.Coverage)
 	if n.isRoot() {
 		n.mu.Unlock()
-		return n.store(ctx, h.Batches)
+		return n.storeBatches(ctx, msg.Batches)
 	}
 	defer n.mu.Unlock()
 	window := usage.WindowAt(n.clock.Wall(steady.Now()), max(n.config.Usage.WindowLength, 1))
-	for i := range h.Batches {
-		if !n.tally.Merge(&h.Batches[i], window) {
+	for i := range msg.Batches {
+		if !n.aggregator.Merge(&msg.Batches[i], window) {
 			return false
 		}
 	}
 	return true
 }
 
-// soundLocked returns the batches that a node of this build may have handed on; others are told of and count as taken, since they come again otherwise.
-func (n *Node) soundLocked(all []usage.Batch) []usage.Batch {
-	here := usage.WindowAt(n.clock.Wall(steady.Now()), max(n.config.Usage.WindowLength, 1))
+// validBatchesLocked returns the batches that a node of this build may have sent. The others are logged and treated as accepted, since they would be sent again otherwise.
+func (n *Node) validBatchesLocked(all []usage.Batch) []usage.Batch {
+	current := usage.WindowAt(n.clock.Wall(steady.Now()), max(n.config.Usage.WindowLength, 1))
 	return slices.DeleteFunc(all, func(b usage.Batch) bool {
-		sound := b.Valid(here)
-		if !sound {
+		valid := b.Valid(current)
+		if !valid {
 			n.metrics.counts.Add("usage_unsound_total", 1)
 			n.log.WithFields(logrus.Fields{"peer": b.Origin, "seq": b.Seq}).Warn("counts_unsound")
 		}
-		return !sound
+		return !valid
 	})
 }
 
-// takeLoadsLocked adds what nodes told of their load.
-func (n *Node) takeLoadsLocked(loads map[vaneyoke.ServiceID]capacity.Load, told time.Duration) {
+// addLoadsLocked adds the loads that nodes reported.
+func (n *Node) addLoadsLocked(loads map[vaneyoke.ServiceID]capacity.Load, coverage time.Duration) {
 	members := n.tree.Members()
-	if told <= 0 || told > time.Duration(members)*longestTold {
+	if coverage <= 0 || coverage > time.Duration(members)*maxLoadInterval {
 		return
 	}
 	maps.DeleteFunc(loads, func(_ vaneyoke.ServiceID, load capacity.Load) bool { return !load.Valid() })
 	if n.isRoot() {
-		n.plan.Handle(steady.Now(), capacity.LoadReported{Loads: loads, Coverage: told.Seconds() / float64(members)})
+		n.planner.Handle(steady.Now(), capacity.LoadReported{Loads: loads, Coverage: coverage.Seconds() / float64(members)})
 		return
 	}
-	n.told += told
+	n.loadCoverage += coverage
 	for service, load := range loads {
-		if n.ordered[service] {
+		if n.autoscaled[service] {
 			n.loads[service] = n.loads[service].Add(load)
 		}
 	}
 }
 
-// store waits until the store holds batches, and reports whether it does.
-func (n *Node) store(ctx context.Context, batches []usage.Batch) bool {
-	ctx, cancel := context.WithTimeout(ctx, writtenWait)
+// storeBatches waits until the store holds the batches, and reports whether it does.
+func (n *Node) storeBatches(ctx context.Context, batches []usage.Batch) bool {
+	ctx, cancel := context.WithTimeout(ctx, batchStoreTimeout)
 	defer cancel()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.reportsUsage() || n.book.Full() {
+	if !n.reportsUsage() || n.reporter.Full() {
 		return len(batches) == 0
 	}
 	for _, b := range batches {
-		n.book.Handle(steady.Now(), usage.BatchReceived{Batch: b})
+		n.reporter.Handle(steady.Now(), usage.BatchReceived{Batch: b})
 	}
-	for !n.holdsLocked(batches) {
-		written := n.written
+	for !n.storedLocked(batches) {
+		batchStored := n.batchStored
 		n.mu.Unlock()
 		select {
-		case <-written:
+		case <-batchStored:
 		case <-ctx.Done():
 		}
 		n.mu.Lock()
 		if ctx.Err() != nil {
-			return n.holdsLocked(batches)
+			return n.storedLocked(batches)
 		}
 	}
 	return true
 }
 
-// holdsLocked reports whether the store is known to hold batches.
-func (n *Node) holdsLocked(batches []usage.Batch) bool {
+// storedLocked reports whether the batches are known to be in the store.
+func (n *Node) storedLocked(batches []usage.Batch) bool {
 	for i := range batches {
 		b := &batches[i]
 		if mark := n.stored[b.Origin]; mark.Life != b.Life || mark.Seq < b.Seq {
@@ -138,68 +138,68 @@
 	return true
 }
 
-// hand hands on what the node has counted and taken over, in some batches where much waits.
-func (n *Node) hand(ctx context.Context) {
-	for range mostHandings {
-		if !n.handOnce(ctx) {
+// forward sends the node's own and accepted counts to the parent, in several messages if there is a backlog.
+func (n *Node) forward(ctx context.Context) {
+	for range maxForwardsInARow {
+		if !n.forwardOnce(ctx) {
 			return
 		}
 	}
 }
 
-// handOnce hands on a batch, and reports whether it was taken and more waits.
-func (n *Node) handOnce(ctx context.Context) (more bool) {
+// forwardOnce sends one message, and reports whether it was accepted and there is a backlog.
+func (n *Node) forwardOnce(ctx context.Context) (more bool) {
 	n.mu.Lock()
-	h := handed{Batches: n.tally.NextBatches()}
-	if len(n.ordered) > 0 {
-		h.Loads, h.Told = n.loadsLocked(steady.Now())
+	msg := forwardMessage{Batches: n.aggregator.NextBatches()}
+	if len(n.autoscaled) > 0 {
+		msg.Loads, msg.Coverage = n.takeLoadsLocked(steady.Now())
 	}
-	n.tellDroppedLocked()
+	n.recordDroppedLocked()
 	root := n.isRoot()
 	n.mu.Unlock()
-	if len(h.Batches) == 0 && h.Told == 0 {
+	if len(msg.Batches) == 0 && msg.Coverage == 0 {
 		return false
 	}
 	if root {
-		if !n.take(ctx, h) {
+		if !n.accept(ctx, msg) {
 			return false
 		}
-	} else if err := n.handAbove(ctx, h); err != nil {
-		n.log.WithFields(logrus.Fields{"batches": len(h.Batches), "error": err}).Debug("counts_not_taken")
+	} else if err := n.forwardToParent(ctx, msg); err != nil {
+		n.log.WithFields(logrus.Fields{"batches": len(msg.Batches), "error": err}).Debug("counts_not_taken")
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tally.Acknowledge(h.Batches)
-	return n.tally.HasBacklog()
+	n.aggregator.Acknowledge(msg.Batches)
+	return n.aggregator.HasBacklog()
 }
 
-// loadsLocked returns what the node has to tell of loads, and for how long, and begins anew.
-func (n *Node) loadsLocked(now time.Time) (map[vaneyoke.ServiceID]capacity.Load, time.Duration) {
-	loads, told := n.loads, n.told+min(now.Sub(n.toldAt), longestTold)
-	n.loads, n.told, n.toldAt = map[vaneyoke.ServiceID]capacity.Load{}, 0, now
-	return loads, told
+// takeLoadsLocked returns and resets the loads to be reported, and the time that they cover.
+func (n *Node) takeLoadsLocked(now time.Time) (map[vaneyoke.ServiceID]capacity.Load, time.Duration) {
+	loads, coverage := n.loads, n.loadCoverage+min(now.Sub(n.loadsTakenAt), maxLoadInterval)
+	n.loads, n.loadCoverage, n.loadsTakenAt = map[vaneyoke.ServiceID]capacity.Load{}, 0, now
+	return loads, coverage
 }
 
-// tellDroppedLocked tells of counts that were let go because nobody took them for long.
-func (n *Node) tellDroppedLocked() {
-	if dropped, ok := n.tally.Dropped(); ok {
-		n.keepLocked(dropped)
+// recordDroppedLocked records counts that were dropped because no node accepted them for too long.
+func (n *Node) recordDroppedLocked() {
+	if dropped, ok := n.aggregator.Dropped(); ok {
+		n.applyUsageLocked(dropped)
 	}
 }
 
-func (n *Node) handAbove(ctx context.Context, h handed) error {
-	next, ok := n.next()
+func (n *Node) forwardToParent(ctx context.Context, msg forwardMessage) error {
+	target, ok := n.forwardTarget()
 	if !ok {
-		return vaneyoke.Err(vaneyoke.CodeStoreDown, "no node is known that the store answers")
+		return vaneyoke.Err(vaneyoke.CodeStoreDown, "no known node is connected to the store")
 	}
-	body, err := json.Marshal(h)
+	body, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, handWait)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+next.Address+Path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target.Address+Path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 		return err
 	}
 	defer func() { _ = res.Body.Close() }()
-	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxHandBytes)) // so that the connection is used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxForwardBytes)) // lets the connection be reused
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", res.StatusCode)
 	}
--- a/shell/duties/fuzz_test.go
+++ b/shell/duties/fuzz_test.go
@@ -21,28 +21,30 @@
 	"github.com/vaneyoke/vaneyoke/shell/duties"
 )
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-// away is a store, a platform and a tree of which nothing answers.
-type away struct{}
+// unavailable is a store and a platform that do not answer, and a tree without other nodes.
+type unavailable struct{}
 
-func (away) Write(context.Context, lease.Name, lease.Row) (lease.Row, error) {
-	return lease.Row{}, errAway
+func (unavailable) Write(context.Context, lease.Name, lease.Row) (lease.Row, error) {
+	return lease.Row{}, errUnavailable
 }
-func (away) Load(context.Context) (usage.Loaded, error)                      { return usage.Loaded{}, errAway }
-func (away) Commit(context.Context, usage.Commit) (vaneyoke.Revision, error) { return 0, errAway }
-func (away) Report(context.Context, lease.FencingToken, usage.Window, usage.Counts) (duties.Reply, error) {
-	return duties.ReplyNone, errAway
+func (unavailable) Load(context.Context) (usage.Loaded, error) { return usage.Loaded{}, errUnavailable }
+func (unavailable) Commit(context.Context, usage.Commit) (vaneyoke.Revision, error) {
+	return 0, errUnavailable
 }
-func (away) Order(context.Context, lease.FencingToken, capacity.Order) (duties.Reply, error) {
-	return duties.ReplyNone, errAway
+func (unavailable) Report(context.Context, lease.FencingToken, usage.Window, usage.Counts) (duties.Reply, error) {
+	return duties.ReplyNone, errUnavailable
 }
-func (away) Above() (feed.Member, bool)  { return feed.Member{}, false }
-func (away) Reader() (feed.Member, bool) { return feed.Member{}, false }
-func (away) Confirms() bool              { return false }
-func (away) Members() int                { return 1 }
+func (unavailable) Order(context.Context, lease.FencingToken, capacity.Order) (duties.Reply, error) {
+	return duties.ReplyNone, errUnavailable
+}
+func (unavailable) Above() (feed.Member, bool)  { return feed.Member{}, false }
+func (unavailable) Reader() (feed.Member, bool) { return feed.Member{}, false }
+func (unavailable) Confirms() bool              { return false }
+func (unavailable) Members() int                { return 1 }
 
-// FuzzCounts takes in whatever a node that follows this one may hand on.
+// FuzzCounts sends arbitrary bodies to a node as if a child node had sent them.
 func FuzzCounts(f *testing.F) {
 	f.Add([]byte(`{"batches":[{"Origin":"vm-1","Life":7,"Seq":1,"Counts":{"354955541":{"a":3}}}],"loads":{"lm":{"begun":2,"reading":2000000,"tokens":5000}},"told":3}`))
 	f.Add([]byte(`{"batches":[{"Origin":"vm-1","Life":7,"Seq":1,"Again":true,"Counts":null}],"told":-1}`))
@@ -50,7 +52,7 @@
 	log.SetOutput(io.Discard)
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		config := duties.Config{Lease: lease.Config{TTL: time.Second, CallTimeout: time.Second / 4}, Usage: usage.Config{WindowLength: time.Second, ReportDeadline: 4 * time.Second}}
-		n := duties.New("vm-0", 1, config, away{}, away{}, away{}, away{}, http.DefaultClient, duties.NewMetrics(new(expvar.Map).Init()), log)
+		n := duties.New("vm-0", 1, config, unavailable{}, unavailable{}, unavailable{}, unavailable{}, http.DefaultClient, duties.NewMetrics(new(expvar.Map).Init()), log)
 		n.SetScalingConfigs(time.Unix(1000, 0), []capacity.ScalingConfig{{Service: "lm", Max: 3, Prices: map[vaneyoke.DataCentreID]float64{"a": 1}}})
 		for range 2 {
 			n.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, duties.Path, bytes.NewReader(body)))
--- a/shell/duties/leases.go
+++ b/shell/duties/leases.go
@@ -13,15 +13,15 @@
 
 func (n *Node) tickLease(now time.Time, name lease.Name, want bool) {
 	d := n.duties[name]
-	var event lease.Event = lease.Tick{Want: want, Drained: d.clean(now)}
-	if n.leaving {
-		event = lease.NodeStopping{Drained: d.clean(now)}
+	var event lease.Event = lease.Tick{Want: want, Drained: d.drained(now)}
+	if n.stopping {
+		event = lease.NodeStopping{Drained: d.drained(now)}
 	}
-	n.leaseLocked(now, name, event)
+	n.handleLeaseLocked(now, name, event)
 }
 
-// leaseLocked gives an event to a lease and carries out what follows.
-func (n *Node) leaseLocked(now time.Time, name lease.Name, event lease.Event) {
+// handleLeaseLocked passes an event to a lease and carries out its effects.
+func (n *Node) handleLeaseLocked(now time.Time, name lease.Name, event lease.Event) {
 	for _, effect := range n.duties[name].Handle(now, event) {
 		switch e := effect.(type) {
 		case lease.Write:
@@ -38,36 +38,36 @@
 	}
 }
 
-// writeLease writes a lease's row. The time at which it is sent is taken before, since the lease counts from then.
+// writeLease writes a lease's row. The lease runs from the time at which the write is sent, which is therefore read before the call.
 func (n *Node) writeLease(name lease.Name, row lease.Row) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaseWait)
+	ctx, cancel := context.WithTimeout(context.Background(), leaseWriteTimeout)
 	defer cancel()
 	n.metrics.counts.Add("lease_writes_total", 1)
 	sentAt := steady.Now()
-	stands, err := n.leases.Write(ctx, name, row)
+	current, err := n.leases.Write(ctx, name, row)
 	var event lease.Event
 	switch {
 	case err == nil:
-		event = lease.Written{Row: stands, SentAt: sentAt}
+		event = lease.Written{Row: current, SentAt: sentAt}
 	case vaneyoke.CodeOf(err) == vaneyoke.CodeStoreRace:
-		event = lease.Conflict{Row: stands}
+		event = lease.Conflict{Row: current}
 	default:
 		n.log.WithFields(logrus.Fields{"duty": name, "fence": uint64(row.Token), "error": err}).Info("lease_unwritten")
 		event = lease.Failed{}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.leaseLocked(steady.Now(), name, event)
+	n.handleLeaseLocked(steady.Now(), name, event)
 }
 
-// called notes how a call of a duty came out.
-func (n *Node) called(now time.Time, name lease.Name, fence lease.FencingToken, reply Reply, refused bool) {
+// callEndedLocked records the outcome of a call made under a lease.
+func (n *Node) callEndedLocked(now time.Time, name lease.Name, token lease.FencingToken, reply Reply, refused bool) {
 	d := n.duties[name]
-	d.under--
+	d.inFlight--
 	if reply == ReplyNone {
-		d.silentAt = now
+		d.unansweredAt = now
 	}
 	if refused {
-		n.leaseLocked(now, name, lease.Refused{Token: fence})
+		n.handleLeaseLocked(now, name, lease.Refused{Token: token})
 	}
 }
--- a/shell/duties/metrics.go
+++ b/shell/duties/metrics.go
@@ -8,25 +8,25 @@
 	"github.com/vaneyoke/vaneyoke/internal/steady"
 )
 
-// Metrics tells what a node does of duties.
+// Metrics counts what a node does for its duties.
 type Metrics struct{ counts *expvar.Map }
 
-// NewMetrics returns metrics that are told under "duties" among vars.
+// NewMetrics returns metrics that are published under "duties" in vars.
 func NewMetrics(vars *expvar.Map) *Metrics {
 	m := &Metrics{counts: new(expvar.Map).Init()}
 	vars.Set("duties", m.counts)
 	return m
 }
 
-// LeaseView is what a node knows of a lease.
+// LeaseView is the state of a lease as a node knows it.
 type LeaseView struct {
-	Holder vaneyoke.VMID      `json:"holder"` // as it was last known
+	Holder vaneyoke.VMID      `json:"holder"` // last one known
 	Token  lease.FencingToken `json:"fence"`
 	Held   bool               `json:"held"` // whether this node holds it
 }
 
-// tellLeases has the leases told as a node knows them.
-func (m *Metrics) tellLeases(n *Node) {
+// publishLeases publishes the leases as n knows them.
+func (m *Metrics) publishLeases(n *Node) {
 	m.counts.Set("leases", expvar.Func(func() any {
 		n.mu.Lock()
 		defer n.mu.Unlock()
--- a/shell/duties/node.go
+++ b/shell/duties/node.go
@@ -17,74 +17,74 @@
 	"github.com/vaneyoke/vaneyoke/internal/steady"
 )
 
-// The duties, by the names of their leases.
+// Names of the duties' leases.
 const (
 	DutyUsage    lease.Name = "usage"
 	DutyCapacity lease.Name = "capacity"
 )
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	handEvery   = 500 * time.Millisecond // time between two reports to the node above
-	leaseWait   = 900 * time.Millisecond // longest wait for the store's answer to a write of a lease
-	storeWait   = 1500 * time.Millisecond
-	cleanAfter  = 15 * time.Second // after a call without an answer, when it is not carried out any more
-	lastHanding = 250 * time.Millisecond
+	tickInterval           = 100 * time.Millisecond
+	forwardInterval        = 500 * time.Millisecond // time between two messages to the parent node
+	leaseWriteTimeout      = 900 * time.Millisecond // of a write of a lease to the store
+	storeTimeout           = 1500 * time.Millisecond
+	unansweredCallLifetime = 15 * time.Second // how long after it timed out the platform may still carry out a call
+	flushTimeout           = 250 * time.Millisecond
 )
 
-// Leases keeps the records of leases.
+// Leases stores the records of leases.
 type Leases interface {
-	// Write writes a row where it has the revision, and returns it as it then is; an error with CodeStoreRace comes with the row that stands, and with any
-	// other it may have been written.
+	// Write writes a row if it still has the given revision, and returns the new row. An error with CodeStoreRace comes with the current row; after any
+	// other error the row may have been written.
 	Write(ctx context.Context, name lease.Name, want lease.Row) (lease.Row, error)
 }
 
-// Ledger keeps what was counted.
+// Ledger stores the usage counts.
 type Ledger interface {
 	// Load returns all rows.
 	Load(ctx context.Context) (usage.Loaded, error)
-	// Commit writes and removes rows where all have the revisions that they name, and returns the revision that they have then.
+	// Commit writes and removes rows if all of them still have the given revisions, and returns their new revision.
 	Commit(ctx context.Context, c usage.Commit) (vaneyoke.Revision, error)
 }
 
-// Reply is how the platform answered a call.
+// Reply is the platform's answer to a call.
 type Reply int
 
 // The replies.
 const (
 	ReplyAccepted Reply = iota + 1
-	ReplyRefused        // it has seen a higher token, or there is nothing to be had
-	ReplyDeclined       // it has done nothing
-	ReplyNone           // there was no answer: it may be carried out later
+	ReplyRefused        // the platform has seen a higher token, or has no capacity
+	ReplyDeclined       // the platform has done nothing
+	ReplyNone           // no answer: the call may be carried out later
 )
 
-// Platform takes the calls of duties.
+// Platform receives the calls made under the duties' leases.
 type Platform interface {
 	// Report reports the counts of a window.
-	Report(ctx context.Context, fence lease.FencingToken, window usage.Window, counts usage.Counts) (Reply, error)
+	Report(ctx context.Context, token lease.FencingToken, window usage.Window, counts usage.Counts) (Reply, error)
 	// Order orders upstreams.
-	Order(ctx context.Context, fence lease.FencingToken, o capacity.Order) (Reply, error)
+	Order(ctx context.Context, token lease.FencingToken, o capacity.Order) (Reply, error)
 }
 
-// Tree tells the node's place among the others.
+// Tree reports the node's place in the distribution tree.
 type Tree interface {
-	// Above returns the node that this one follows; ok is false where it follows none.
-	Above() (above feed.Member, ok bool)
-	// Confirms reports whether the node reads the store, which has confirmed the tables to it of late.
+	// Above returns the parent node, which this one follows; ok is false if there is none.
+	Above() (parent feed.Member, ok bool)
+	// Confirms reports whether the node reads the store, and the store has recently confirmed the tables to it.
 	Confirms() bool
-	// Reader returns another node that does; ok is false where none is known.
+	// Reader returns another such node; ok is false if none is known.
 	Reader() (reader feed.Member, ok bool)
-	// Members returns how many nodes there are, this one among them.
+	// Members returns the number of nodes, including this one.
 	Members() int
 }
 
-// Config holds the bounds of the duties.
+// Config configures the duties.
 type Config struct {
 	Lease lease.Config
-	Usage usage.Config // its length is 0 where usage is not reported
+	Usage usage.Config // its WindowLength is 0 if usage is not reported
 }
 
-// Node is this node's part in the duties.
+// Node performs this node's part of the duties.
 type Node struct {
 	self     vaneyoke.VMID
 	config   Config
@@ -92,148 +92,148 @@
 	ledger   Ledger
 	platform Platform
 	tree     Tree
-	client   *http.Client // for the node above
+	client   *http.Client // for the parent node
 	metrics  *Metrics
 	log      logrus.FieldLogger
 
-	mu      sync.Mutex
-	duties  map[lease.Name]*duty
-	clock   usage.Clock
-	tally   *usage.Aggregator
-	book    *usage.Reporter
-	plan    *capacity.State
-	ordered map[vaneyoke.ServiceID]bool          // services whose upstreams are ordered
-	loads   map[vaneyoke.ServiceID]capacity.Load // since the last report to the node above
-	told    time.Duration                        // for which other nodes told theirs, which are among them, summed up
-	toldAt  time.Time                            // until when this node has told its own
-	written chan struct{}                        // closed at each batch that the store holds
-	stored  usage.Watermarks                     // of the batches that the store is known to hold
-	leaving bool
-}
-
-// duty is a lease, and what was sent under it.
+	mu           sync.Mutex
+	duties       map[lease.Name]*duty
+	clock        usage.Clock
+	aggregator   *usage.Aggregator
+	reporter     *usage.Reporter
+	planner      *capacity.State
+	autoscaled   map[vaneyoke.ServiceID]bool          // services whose upstreams this fleet orders
+	loads        map[vaneyoke.ServiceID]capacity.Load // since the last message to the parent node
+	loadCoverage time.Duration                        // time covered by the loads of other nodes in loads, summed over the nodes
+	loadsTakenAt time.Time                            // up to which this node has sent its own load
+	batchStored  chan struct{}                        // closed when the store holds another batch
+	stored       usage.Watermarks                     // of the batches known to be in the store
+	stopping     bool
+}
+
+// duty is a lease and the state of the calls made under it.
 type duty struct {
 	*lease.State
-	under    int       // calls without an answer
-	silentAt time.Time // when a call was last given up without one
+	inFlight     int       // calls in flight
+	unansweredAt time.Time // when a call last timed out
 }
 
-// clean reports whether nothing that was sent is under way.
-func (d *duty) clean(now time.Time) bool {
-	return d.under == 0 && (d.silentAt.IsZero() || now.Sub(d.silentAt) > cleanAfter)
+// drained reports whether no call can still be carried out.
+func (d *duty) drained(now time.Time) bool {
+	return d.inFlight == 0 && (d.unansweredAt.IsZero() || now.Sub(d.unansweredAt) > unansweredCallLifetime)
 }
 
-// New returns a node's part in the duties; life tells its process from all others.
-func New(self vaneyoke.VMID, life vaneyoke.Incarnation, config Config, leases Leases, ledger Ledger, platform Platform, tree Tree, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
+// New returns a node's part in the duties; incarnation identifies its process.
+func New(self vaneyoke.VMID, incarnation vaneyoke.Incarnation, config Config, leases Leases, ledger Ledger, platform Platform, tree Tree, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
 	n := &Node{
 		self: self, config: config, leases: leases, ledger: ledger, platform: platform, tree: tree, client: client, metrics: metrics, log: log,
-		duties: map[lease.Name]*duty{}, tally: usage.NewAggregator(self, life), book: usage.NewReporter(config.Usage), plan: capacity.New(),
-		ordered: map[vaneyoke.ServiceID]bool{}, loads: map[vaneyoke.ServiceID]capacity.Load{}, written: make(chan struct{}), stored: usage.Watermarks{},
+		duties: map[lease.Name]*duty{}, aggregator: usage.NewAggregator(self, incarnation), reporter: usage.NewReporter(config.Usage), planner: capacity.New(),
+		autoscaled: map[vaneyoke.ServiceID]bool{}, loads: map[vaneyoke.ServiceID]capacity.Load{}, batchStored: make(chan struct{}), stored: usage.Watermarks{},
 	}
 	for _, name := range []lease.Name{DutyUsage, DutyCapacity} {
-		n.duties[name] = &duty{State: lease.New(self, life, config.Lease)}
+		n.duties[name] = &duty{State: lease.New(self, incarnation, config.Lease)}
 	}
-	n.toldAt = steady.Now()
-	n.clock.Sample(n.toldAt, time.Now())
-	metrics.tellLeases(n)
+	n.loadsTakenAt = steady.Now()
+	n.clock.Sample(n.loadsTakenAt, time.Now())
+	metrics.publishLeases(n)
 	return n
 }
 
-// reportsUsage reports whether usage is counted.
+// reportsUsage reports whether usage is counted and reported.
 func (n *Node) reportsUsage() bool { return n.config.Usage.WindowLength > 0 }
 
-// SetScalingConfigs takes in the terms on which upstreams are ordered.
+// SetScalingConfigs updates the configuration by which upstreams are ordered.
 func (n *Node) SetScalingConfigs(now time.Time, all []capacity.ScalingConfig) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.ordered)
+	clear(n.autoscaled)
 	for _, t := range all {
-		n.ordered[t.Service] = true
+		n.autoscaled[t.Service] = true
 	}
-	n.plan.Handle(now, capacity.ConfigsUpdated{All: all})
+	n.planner.Handle(now, capacity.ConfigsUpdated{All: all})
 }
 
-// SetUpstreams takes in the fleet's upstreams.
+// SetUpstreams updates the fleet's upstreams.
 func (n *Node) SetUpstreams(now time.Time, all []vaneyoke.Upstream) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.plan.Handle(now, capacity.UpstreamsUpdated{All: all})
+	n.planner.Handle(now, capacity.UpstreamsUpdated{All: all})
 }
 
-// CountRequest counts a request of a workspace that an upstream began.
+// CountRequest counts a workspace's request that an upstream has started.
 func (n *Node) CountRequest(workspace vaneyoke.WorkspaceID) {
 	if !n.reportsUsage() || workspace == "" {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tally.CountRequest(usage.WindowAt(n.clock.Wall(steady.Now()), n.config.Usage.WindowLength), workspace)
+	n.aggregator.CountRequest(usage.WindowAt(n.clock.Wall(steady.Now()), n.config.Usage.WindowLength), workspace)
 }
 
-// AddLoad takes in what a request took of a service's upstreams.
+// AddLoad adds the load that a request put on a service's upstreams.
 func (n *Node) AddLoad(service vaneyoke.ServiceID, load capacity.Load) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.ordered[service] {
+	if n.autoscaled[service] {
 		n.loads[service] = n.loads[service].Add(load)
 	}
 }
 
-// Run keeps the leases, and does the duties that the node holds, until ctx ends.
+// Run maintains the leases, and performs the duties whose leases the node holds, until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
 	work.Go(func() {
-		for pause.For(ctx, handEvery) {
-			n.hand(ctx)
+		for pause.For(ctx, forwardInterval) {
+			n.forward(ctx)
 		}
 	})
-	for pause.For(ctx, tickEvery) {
+	for pause.For(ctx, tickInterval) {
 		n.tick(steady.Now())
 	}
 }
 
-// ReleaseLeases gives up the leases that the node holds, because it ends.
+// ReleaseLeases makes the node release its leases, because it stops.
 func (n *Node) ReleaseLeases() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.leaving = true
+	n.stopping = true
 }
 
-// Flush hands on what was counted, for the last time.
+// Flush forwards the remaining counts before the node stops.
 func (n *Node) Flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lastHanding)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	n.hand(ctx)
+	n.forward(ctx)
 }
 
-// tick lets time pass.
+// tick advances the leases, the usage reporter and the planner to now.
 func (n *Node) tick(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.clock.Sample(now, time.Now())
 	root := n.isRoot()
 	n.tickLease(now, DutyUsage, root && n.reportsUsage())
-	n.tickLease(now, DutyCapacity, root && len(n.ordered) > 0)
+	n.tickLease(now, DutyCapacity, root && len(n.autoscaled) > 0)
 	if n.reportsUsage() {
 		_, holds := n.duties[DutyUsage].ActiveToken(now)
-		for _, effect := range n.book.Handle(now, usage.Tick{Wall: n.clock.Wall(now), MayWrite: root, MayReport: holds}) {
-			n.keepLocked(effect)
+		for _, effect := range n.reporter.Handle(now, usage.Tick{Wall: n.clock.Wall(now), MayWrite: root, MayReport: holds}) {
+			n.applyUsageLocked(effect)
 		}
 	}
 	_, holds := n.duties[DutyCapacity].ActiveToken(now)
-	for _, order := range n.plan.Handle(now, capacity.Tick{HoldsDuty: func(vaneyoke.ServiceID) bool { return holds }}) {
-		n.orderLocked(now, order)
+	for _, order := range n.planner.Handle(now, capacity.Tick{HoldsDuty: func(vaneyoke.ServiceID) bool { return holds }}) {
+		n.sendOrderLocked(now, order)
 	}
 }
 
-// isRoot reports whether what nodes count ends at this one: the store answers it.
+// isRoot reports whether this node writes the counts of other nodes to the store, which it does while the store answers it.
 func (n *Node) isRoot() bool { return n.tree.Confirms() }
 
-// next returns the node to which this one hands on what it counted: the one that it follows or, where it follows none and the store does not answer it, one that the store answers.
-func (n *Node) next() (feed.Member, bool) {
-	if above, ok := n.tree.Above(); ok {
-		return above, true
+// forwardTarget returns the node to which this one forwards its counts: its parent or, if it has none and the store does not answer it, a node that the store answers.
+func (n *Node) forwardTarget() (feed.Member, bool) {
+	if parent, ok := n.tree.Above(); ok {
+		return parent, true
 	}
 	return n.tree.Reader()
 }
