--- a/shell/rollouts/doc.go
+++ b/shell/rollouts/doc.go
@@ -1,2 +1,2 @@
-// Package rollouts carries out what is decided of roll-outs: it writes their records, and has nodes tell one another what they counted.
+// Package rollouts carries out the decisions on rollouts: it writes their records, and exchanges the nodes' counts and verdicts.
 package rollouts
--- a/shell/rollouts/exchange.go
+++ b/shell/rollouts/exchange.go
@@ -15,80 +15,80 @@
 	"github.com/vaneyoke/vaneyoke/internal/steady"
 )
 
-// Path is where a node takes the reports of those that follow it.
+// Path is the HTTP path at which a node receives the reports of its child nodes.
 const Path = "/rollouts"
 
 const (
-	reportWait     = 400 * time.Millisecond // longest wait for the node above
+	reportTimeout  = 400 * time.Millisecond // of a report to the parent node
 	maxReportBytes = 1 << 20
 )
 
-// reports is what a node tells the one above it.
-type reports struct {
-	From vaneyoke.VMID    `json:"from"`
-	All  []rollout.Report `json:"all"`
+// reportRequest holds the reports that a node sends to its parent.
+type reportRequest struct {
+	From    vaneyoke.VMID    `json:"from"`
+	Reports []rollout.Report `json:"all"`
 }
 
-// stops is the answer: the roll-outs that the node above knows to be bad.
-type stops struct {
-	All []rollout.ID `json:"all"`
+// reportResponse is the parent's answer: the rollouts that it knows to be bad.
+type reportResponse struct {
+	Stopped []rollout.ID `json:"all"`
 }
 
-// ServeHTTP takes the reports of a node that follows this one.
+// ServeHTTP receives the reports of a child node.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var told reports
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReportBytes)).Decode(&told); err != nil {
+	var request reportRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReportBytes)).Decode(&request); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	n.handle(steady.Now(), rollout.ReportReceived{From: told.From, Reports: told.All})
+	n.handle(steady.Now(), rollout.ReportReceived{From: request.From, Reports: request.Reports})
 	n.mu.Lock()
-	answer := stops{All: n.state.Stops()}
+	response := reportResponse{Stopped: n.state.Stops()}
 	n.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // a node that is gone asks again
+	_ = json.NewEncoder(w).Encode(response) // if the connection is lost, the child node asks again
 }
 
-// report tells the node above what was counted, and takes in what it knows to be bad.
+// report sends the counts to the parent node, and handles the stopped rollouts that it returns.
 func (n *Node) report(ctx context.Context) {
-	above, ok := n.tree.Above()
+	parent, ok := n.tree.Above()
 	if !ok {
 		return
 	}
 	n.mu.Lock()
-	told := reports{From: n.self, All: n.state.Reports()}
+	request := reportRequest{From: n.self, Reports: n.state.Reports()}
 	n.mu.Unlock()
-	if len(told.All) == 0 {
+	if len(request.Reports) == 0 {
 		return
 	}
-	answer, err := n.exchange(ctx, above.Address, told)
+	response, err := n.sendReport(ctx, parent.Address, request)
 	if err != nil {
-		n.log.WithFields(logrus.Fields{"peer": above.VM, "error": err}).Debug("report_failed")
+		n.log.WithFields(logrus.Fields{"peer": parent.VM, "error": err}).Debug("report_failed")
 		return
 	}
-	if len(answer.All) > 0 {
-		n.handle(steady.Now(), rollout.StopsReceived{Stops: answer.All})
+	if len(response.Stopped) > 0 {
+		n.handle(steady.Now(), rollout.StopsReceived{Stops: response.Stopped})
 	}
 }
 
-func (n *Node) exchange(ctx context.Context, address string, told reports) (answer stops, err error) {
-	body, err := json.Marshal(told)
+func (n *Node) sendReport(ctx context.Context, address string, request reportRequest) (response reportResponse, err error) {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportWait)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+Path, bytes.NewReader(body))
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	req.Header.Set("Content-Type", "application/json")
 	res, err := n.client.Do(req)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	defer func() { _ = res.Body.Close() }()
 	n.metrics.counts.Add("reported_bytes_total", int64(len(body)))
-	err = json.NewDecoder(io.LimitReader(res.Body, maxReportBytes)).Decode(&answer)
-	return answer, err
+	err = json.NewDecoder(io.LimitReader(res.Body, maxReportBytes)).Decode(&response)
+	return response, err
 }
--- a/shell/rollouts/fuzz_test.go
+++ b/shell/rollouts/fuzz_test.go
@@ -17,20 +17,20 @@
 	"github.com/vaneyoke/vaneyoke/shell/rollouts"
 )
 
-type nobody struct{}
+type noPeers struct{}
 
-func (nobody) Above() (feed.Member, bool)                                       { return feed.Member{}, false }
-func (nobody) Reads() bool                                                      { return false }
-func (nobody) SetSplit(vaneyoke.ServiceID, rollout.Split)                       {}
-func (nobody) Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int { return nil }
+func (noPeers) Above() (feed.Member, bool)                                       { return feed.Member{}, false }
+func (noPeers) Reads() bool                                                      { return false }
+func (noPeers) SetSplit(vaneyoke.ServiceID, rollout.Split)                       {}
+func (noPeers) Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int { return nil }
 
-// FuzzReports takes in any report of a node that follows this one, while a roll-out is under way, and has decisions made.
+// FuzzReports sends arbitrary bodies to a node as if a child node had sent them, while a rollout is in progress.
 func FuzzReports(f *testing.F) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		now := time.Unix(1000, 0)
-		n := rollouts.New("vm-0", rollout.Config{}, nil, nobody{}, nobody{}, http.DefaultClient, rollouts.NewMetrics(new(expvar.Map).Init()), log)
+		n := rollouts.New("vm-0", rollout.Config{}, nil, noPeers{}, noPeers{}, http.DefaultClient, rollouts.NewMetrics(new(expvar.Map).Init()), log)
 		n.SetRecords(now, []rollout.Row{{Revision: 4, Record: rollout.Record{Service: "lm", Target: "v2", Order: 3, Stage: rollout.StageCanary}}})
 		n.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, rollouts.Path, bytes.NewReader(body)))
 	})
--- a/shell/rollouts/node.go
+++ b/shell/rollouts/node.go
@@ -17,109 +17,109 @@
 )
 
 const (
-	// tickEvery is the time between two reports to the node above: a bad version is to be known everywhere within seconds, over
-	// the levels of the tree up and down.
-	tickEvery = 250 * time.Millisecond
-	storeWait = 1500 * time.Millisecond // longest wait for the store
+	// tickInterval is the time between two reports to the parent node. A bad version must be known at all nodes within seconds,
+	// after passing up and down the levels of the tree.
+	tickInterval = 250 * time.Millisecond
+	storeTimeout = 1500 * time.Millisecond // of a call to the store
 )
 
-// Store keeps the records.
+// Store stores the records of rollouts.
 type Store interface {
-	// Write writes a record, and its state for operators, where its row has a revision, 0 for no row; an error with
-	// CodeStoreRace says that it has another one, and any other that the record may have been written.
+	// Write writes a record, and its state for operators, if its row has the expected revision, 0 for no row. An error with
+	// CodeStoreRace means that the row has another revision; after any other error the record may have been written.
 	Write(ctx context.Context, record rollout.Record, expect vaneyoke.Revision) error
 	// Now returns the time on the store's clock.
 	Now(ctx context.Context) (rollout.StoreTime, error)
 }
 
-// Tree tells the node's place among the others.
+// Tree reports the node's place in the distribution tree.
 type Tree interface {
-	// Above returns the node that this one follows; ok is false where it follows none.
-	Above() (above feed.Member, ok bool)
+	// Above returns the parent node, which this one follows; ok is false if there is none.
+	Above() (parent feed.Member, ok bool)
 	// Reads reports whether the node reads the store for others.
 	Reads() bool
 }
 
-// TrafficSplitter divides requests among the versions of a service's upstreams.
+// TrafficSplitter splits requests among the versions of a service's upstreams.
 type TrafficSplitter interface {
-	// SetSplit takes in how a service's requests are divided.
+	// SetSplit sets how a service's requests are split.
 	SetSplit(service vaneyoke.ServiceID, split rollout.Split)
-	// Running returns the attempts under way by service and version.
+	// Running returns the number of attempts in flight by service and version.
 	Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
 }
 
-// Node is this node's part in roll-outs.
+// Node performs this node's part in rollouts.
 type Node struct {
-	self    vaneyoke.VMID
-	store   Store
-	tree    Tree
-	divider TrafficSplitter
-	client  *http.Client // for the node above
-	metrics *Metrics
-	log     logrus.FieldLogger
-	woken   chan struct{} // holds something when there may be something to do
+	self     vaneyoke.VMID
+	store    Store
+	tree     Tree
+	splitter TrafficSplitter
+	client   *http.Client // for the parent node
+	metrics  *Metrics
+	log      logrus.FieldLogger
+	wake     chan struct{} // receives a value when there may be something to do
 
 	mu    sync.Mutex
 	state *rollout.State
 }
 
-// Metrics counts what a node does for roll-outs.
+// Metrics counts what a node does for rollouts.
 type Metrics struct{ counts *expvar.Map }
 
-// NewMetrics returns metrics that are told under "rollouts" among vars.
+// NewMetrics returns metrics that are published under "rollouts" in vars.
 func NewMetrics(vars *expvar.Map) *Metrics {
 	m := &Metrics{counts: new(expvar.Map).Init()}
 	vars.Set("rollouts", m.counts)
 	return m
 }
 
-// New returns a node's part in roll-outs.
-func New(self vaneyoke.VMID, config rollout.Config, store Store, tree Tree, divider TrafficSplitter, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
+// New returns a node's part in rollouts.
+func New(self vaneyoke.VMID, config rollout.Config, store Store, tree Tree, splitter TrafficSplitter, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
 	return &Node{
-		self: self, store: store, tree: tree, divider: divider, client: client, metrics: metrics, log: log,
-		woken: make(chan struct{}, 1), state: rollout.New(self, config),
+		self: self, store: store, tree: tree, splitter: splitter, client: client, metrics: metrics, log: log,
+		wake: make(chan struct{}, 1), state: rollout.New(self, config),
 	}
 }
 
-// SetOrders takes in the orders that stand.
+// SetOrders updates the present orders.
 func (n *Node) SetOrders(now time.Time, orders []rollout.Order) {
 	n.handle(now, rollout.OrdersUpdated{Orders: orders})
 }
 
-// SetRecords takes in the records that stand.
+// SetRecords updates the present records.
 func (n *Node) SetRecords(now time.Time, rows []rollout.Row) {
 	n.handle(now, rollout.RecordsUpdated{Rows: rows})
 }
 
-// SetUpstreams takes in the fleet's upstreams.
+// SetUpstreams updates the fleet's upstreams.
 func (n *Node) SetUpstreams(now time.Time, all []vaneyoke.Upstream) {
 	n.handle(now, rollout.UpstreamsUpdated{All: all})
 }
 
-// RecordAnswer takes in how an upstream answered a request of this node.
+// RecordAnswer records how an upstream answered a request of this node.
 func (n *Node) RecordAnswer(now time.Time, upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.state.Handle(now, rollout.Answered{Upstream: upstream, Route: route, Answer: answer})
 }
 
-// handle gives an event to the state, and carries out what follows.
+// handle passes an event to the state, and carries out its effects.
 func (n *Node) handle(now time.Time, event rollout.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, effect := range n.state.Handle(now, event) {
-		n.carryOut(effect)
+		n.apply(effect)
 	}
 	select {
-	case n.woken <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) carryOut(effect rollout.Effect) {
+func (n *Node) apply(effect rollout.Effect) {
 	switch e := effect.(type) {
 	case rollout.SetSplit:
-		n.divider.SetSplit(e.Service, e.Split)
+		n.splitter.SetSplit(e.Service, e.Split)
 		n.log.WithFields(logrus.Fields{
 			"service": e.Service, "target": e.Split.Target, "share": e.Split.Share, "barred": e.Split.Blocked, "held": e.Split.Held,
 		}).Info("requests_divided")
@@ -135,9 +135,9 @@
 	}
 }
 
-// write writes a record; whether it was written is seen when its row comes back.
+// write writes a record. The updated row that the node receives later shows whether the write took effect.
 func (n *Node) write(w rollout.Write) {
-	ctx, cancel := context.WithTimeout(context.Background(), storeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	err := n.store.Write(ctx, w.Record, w.Expect)
 	n.metrics.counts.Add("written_total", 1)
@@ -148,7 +148,7 @@
 }
 
 func (n *Node) readClock() {
-	ctx, cancel := context.WithTimeout(context.Background(), storeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	at, err := n.store.Now(ctx)
 	if err != nil {
@@ -158,20 +158,20 @@
 	n.handle(steady.Now(), rollout.ClockRead{At: at})
 }
 
-// Run reports to the node above and has decisions made until ctx ends; without a roll-out it waits for one.
+// Run makes decisions and reports to the parent node until ctx ends; without a rollout it waits for one.
 func (n *Node) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !n.isActive() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-n.woken:
+			case <-n.wake:
 			}
 			continue
 		}
-		n.handle(steady.Now(), rollout.Tick{Running: n.divider.Running(), ReadsStore: n.tree.Reads()})
+		n.handle(steady.Now(), rollout.Tick{Running: n.splitter.Running(), ReadsStore: n.tree.Reads()})
 		n.report(ctx)
-		pause.For(ctx, tickEvery)
+		pause.For(ctx, tickInterval)
 	}
 }
 
