--- a/shell/catalog/accept.go
+++ b/shell/catalog/accept.go
@@ -10,32 +10,32 @@
 	"github.com/vaneyoke/vaneyoke/internal/pause"
 )
 
-// confirmPause is the time between two rounds of questions whether a change is in force.
-const confirmPause = 50 * time.Millisecond
+// confirmInterval is the time between two rounds of queries whether a change is active.
+const confirmInterval = 50 * time.Millisecond
 
-// AwaitAccepted asks the members until a majority has a revision in force; only then may the change be told as accepted.
-// It returns the revision of each member that answered.
+// AwaitAccepted queries the members until a revision is active at a majority of them; only then may the change be reported as
+// accepted. It returns the revision of each member that answered.
 func (f *Follower) AwaitAccepted(ctx context.Context, revision vaneyoke.Revision) (map[vaneyoke.VMID]vaneyoke.Revision, error) {
 	for {
 		if f.Current().Revision < revision {
 			f.TriggerPoll()
 		}
-		members, have := f.ActiveRevisions(ctx, revision)
-		// Whose confirmation counts is told by the revision itself, so the own node has to have it first.
-		if have[f.self.VM] >= revision && freshness.Accepted(members, have, revision) {
-			return have, nil
+		members, revisions := f.ActiveRevisions(ctx, revision)
+		// The revision itself defines whose confirmation counts, so this node needs it first.
+		if revisions[f.self.VM] >= revision && freshness.Accepted(members, revisions, revision) {
+			return revisions, nil
 		}
-		if !pause.For(ctx, confirmPause) {
-			return have, vaneyoke.Err(vaneyoke.CodeNotConfirmed, "revision %d is committed and in force at %d of %d nodes", revision, len(have), len(members))
+		if !pause.For(ctx, confirmInterval) {
+			return revisions, vaneyoke.Err(vaneyoke.CodeNotConfirmed, "revision %d is committed and in force at %d of %d nodes", revision, len(revisions), len(members))
 		}
 	}
 }
 
-// ActiveRevisions asks all members once which revision they have in force; they are told of the given one.
+// ActiveRevisions queries all members once for their active revision, and tells them of the given one.
 func (f *Follower) ActiveRevisions(ctx context.Context, revision vaneyoke.Revision) ([]vaneyoke.VMID, map[vaneyoke.VMID]vaneyoke.Revision) {
 	current := f.Current()
 	members := current.Members()
-	have := map[vaneyoke.VMID]vaneyoke.Revision{f.self.VM: current.Revision}
+	revisions := map[vaneyoke.VMID]vaneyoke.Revision{f.self.VM: current.Revision}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for _, vm := range members {
@@ -49,9 +49,9 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			have[vm] = got
+			revisions[vm] = got
 		})
 	}
 	wait.Wait()
-	return members, have
+	return members, revisions
 }
--- a/shell/catalog/catalog_test.go
+++ b/shell/catalog/catalog_test.go
@@ -13,35 +13,35 @@
 	"github.com/vaneyoke/vaneyoke/wire/store/memory"
 )
 
-// TestCatchingUpGivesWhatReadingAllGives makes random changes, and reads after some of them.
-func TestCatchingUpGivesWhatReadingAllGives(t *testing.T) {
+// TestIncrementalReadEqualsFullRead makes random changes, and compares an incremental with a full read after some of them.
+func TestIncrementalReadEqualsFullRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := memory.New()
-		seen := map[string]store.Version{}
-		held := catalog.New(catalog.Content{})
+		versions := map[string]store.Version{}
+		previous := catalog.New(catalog.Content{})
 		ctx := t.Context()
 		for i := range rapid.IntRange(1, 60).Draw(t, "changes") {
 			id := fmt.Sprintf("w%d", rapid.IntRange(0, 5).Draw(t, "id"))
 			partition := rapid.SampledFrom([]string{catalog.PartitionWorkspaces, catalog.PartitionUpstreams, catalog.PartitionNodes, catalog.PartitionPolicies}).Draw(t, "partition")
-			change := catalog.Change{Partition: partition, ID: id, ExpectedVersion: seen[partition+id]}
+			change := catalog.Change{Partition: partition, ID: id, ExpectedVersion: versions[partition+id]}
 			if change.ExpectedVersion == 0 || rapid.IntRange(0, 3).Draw(t, "put") > 0 {
 				change.Value = valueOf(partition, id, i)
 			}
 			_, err := catalog.Apply(ctx, table, change)
 			must.NoError(t, err)
-			seen[partition+id]++
+			versions[partition+id]++
 			if change.Value == nil {
-				seen[partition+id] = 0
+				versions[partition+id] = 0
 			}
 			if rapid.IntRange(0, 2).Draw(t, "read") > 0 {
 				continue
 			}
-			caught, err := catalog.Read(ctx, table, held)
+			incremental, err := catalog.Read(ctx, table, previous)
 			must.NoError(t, err)
-			all, err := catalog.Read(ctx, table, catalog.New(catalog.Content{}))
+			full, err := catalog.Read(ctx, table, catalog.New(catalog.Content{}))
 			must.NoError(t, err)
-			must.EqOp(t, fmt.Sprintf("%+v", all.Content), fmt.Sprintf("%+v", caught.Content))
-			held = caught
+			must.EqOp(t, fmt.Sprintf("%+v", full.Content), fmt.Sprintf("%+v", incremental.Content))
+			previous = incremental
 		}
 	})
 }
--- a/shell/catalog/change.go
+++ b/shell/catalog/change.go
@@ -14,22 +14,22 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// applyTries bounds how often a change is tried again because another one took its revision.
-const applyTries = 30
+// maxApplyAttempts bounds how often a change is attempted while others take its revision.
+const maxApplyAttempts = 30
 
-// Change is one write to the configuration, guarded by the version that its author saw.
+// Change is one write to the configuration, conditional on the row's version.
 type Change struct {
 	Partition       string
 	ID              string
 	Value           any           // nil deletes the row
-	ExpectedVersion store.Version // 0 for a row that must not exist
+	ExpectedVersion store.Version // that the author saw; 0 if the row must not exist
 }
 
-// AuditInfo says who made a change and why it is made; it goes into the audit trail.
+// AuditInfo describes who makes a change and what it does, for the audit trail.
 type AuditInfo struct {
 	Actor          string
 	Action         string
-	IdempotencyKey string // the author's own key for the change, "" for none
+	IdempotencyKey string // chosen by the actor; "" for none
 }
 
 // AuditEntry is one accepted change in the audit trail.
@@ -41,29 +41,29 @@
 }
 
 // Apply commits changes together with the next revision, and returns that revision.
-// A row that is not as its author saw it is told with CodeConflict, and a change whose outcome is not known with CodeStoreUnknown.
+// It returns CodeConflict if a row does not have the expected version, and CodeStoreUnknown if the outcome is unknown.
 func Apply(ctx context.Context, table store.Table, changes ...Change) (vaneyoke.Revision, error) {
 	return ApplyAudited(ctx, table, time.Now(), AuditInfo{}, changes...)
 }
 
-// ApplyAudited is Apply with an entry in the audit trail; a change with the same key of its author is made once.
-func ApplyAudited(ctx context.Context, table store.Table, now time.Time, note AuditInfo, changes ...Change) (vaneyoke.Revision, error) {
-	for range applyTries {
-		revision, err := applyOnce(ctx, table, now, note, changes)
+// ApplyAudited is Apply with an entry in the audit trail; a change with the same idempotency key of its actor is made only once.
+func ApplyAudited(ctx context.Context, table store.Table, now time.Time, audit AuditInfo, changes ...Change) (vaneyoke.Revision, error) {
+	for range maxApplyAttempts {
+		revision, err := applyOnce(ctx, table, now, audit, changes)
 		if vaneyoke.CodeOf(err) != vaneyoke.CodeStoreRace {
 			return revision, err
 		}
-		if done, ok, err := made(ctx, table, note); ok || err != nil {
+		if done, ok, err := findApplied(ctx, table, audit); ok || err != nil {
 			return done, err
 		}
-		if err := unchanged(ctx, table, changes); err != nil {
+		if err := checkVersions(ctx, table, changes); err != nil {
 			return 0, err
 		}
 	}
 	return 0, vaneyoke.Err(vaneyoke.CodeStoreRace, "too many changes at once")
 }
 
-func applyOnce(ctx context.Context, table store.Table, now time.Time, note AuditInfo, changes []Change) (vaneyoke.Revision, error) {
+func applyOnce(ctx context.Context, table store.Table, now time.Time, audit AuditInfo, changes []Change) (vaneyoke.Revision, error) {
 	revision, err := ReadRevision(ctx, table)
 	if err != nil {
 		return 0, err
@@ -72,7 +72,7 @@
 	tx := store.Tx{Nonce: store.Nonce(uuid.NewString())}
 	cond := store.Condition{Version: store.Version(revision)}
 	tx.Writes = append(tx.Writes, store.Put{Key: RevisionKey, Value: []byte("{}"), If: cond})
-	for _, c := range slices.Concat(changes, note.changes(now, next), []Change{trace(changes, next)}) {
+	for _, c := range slices.Concat(changes, audit.rows(now, next), []Change{changeLogRow(changes, next)}) {
 		write, err := c.write()
 		if err != nil {
 			return 0, err
@@ -82,40 +82,40 @@
 	return next, store.CommitSettled(ctx, table, tx)
 }
 
-// touched is the row that tells which rows a revision changed, so that nodes need not read all of them.
-type touched struct {
+// changeLogEntry lists the rows that a revision changed, so that nodes need not read all rows.
+type changeLogEntry struct {
 	Keys []store.Key `json:"keys"`
 }
 
-func trace(changes []Change, revision vaneyoke.Revision) Change {
+func changeLogRow(changes []Change, revision vaneyoke.Revision) Change {
 	keys := lo.Map(changes, func(c Change, _ int) store.Key { return store.Key{Partition: c.Partition, ID: c.ID} })
-	return Change{Partition: PartitionChanges, ID: auditID(revision), Value: touched{Keys: keys}}
+	return Change{Partition: PartitionChanges, ID: revisionID(revision), Value: changeLogEntry{Keys: keys}}
 }
 
-// changes returns the rows that a note adds to a transaction.
-func (n AuditInfo) changes(now time.Time, revision vaneyoke.Revision) []Change {
-	if n.Actor == "" {
+// rows returns the rows that the audit trail adds to a transaction.
+func (a AuditInfo) rows(now time.Time, revision vaneyoke.Revision) []Change {
+	if a.Actor == "" {
 		return nil
 	}
-	entry := AuditEntry{Revision: revision, Actor: n.Actor, Action: n.Action, At: now}
-	list := []Change{{Partition: PartitionAudit, ID: auditID(revision), Value: entry}}
-	if n.IdempotencyKey != "" {
-		list = append(list, Change{Partition: PartitionIdempotencyKeys, ID: n.onceID(), Value: entry})
+	entry := AuditEntry{Revision: revision, Actor: a.Actor, Action: a.Action, At: now}
+	list := []Change{{Partition: PartitionAudit, ID: revisionID(revision), Value: entry}}
+	if a.IdempotencyKey != "" {
+		list = append(list, Change{Partition: PartitionIdempotencyKeys, ID: a.idempotencyKeyID(), Value: entry})
 	}
 	return list
 }
 
-// auditID orders the entries of the audit trail by revision.
-func auditID(revision vaneyoke.Revision) string { return fmt.Sprintf("%020d", revision) }
+// revisionID returns a revision as a row id that sorts in numeric order.
+func revisionID(revision vaneyoke.Revision) string { return fmt.Sprintf("%020d", revision) }
 
-func (n AuditInfo) onceID() string { return n.Actor + "/" + n.IdempotencyKey }
+func (a AuditInfo) idempotencyKeyID() string { return a.Actor + "/" + a.IdempotencyKey }
 
-// made returns the revision of a change that was made before under the same key.
-func made(ctx context.Context, table store.Table, note AuditInfo) (vaneyoke.Revision, bool, error) {
-	if note.IdempotencyKey == "" {
+// findApplied returns the revision of an earlier change with the same idempotency key.
+func findApplied(ctx context.Context, table store.Table, audit AuditInfo) (vaneyoke.Revision, bool, error) {
+	if audit.IdempotencyKey == "" {
 		return 0, false, nil
 	}
-	row, err := table.Get(ctx, store.Key{Partition: PartitionIdempotencyKeys, ID: note.onceID()})
+	row, err := table.Get(ctx, store.Key{Partition: PartitionIdempotencyKeys, ID: audit.idempotencyKeyID()})
 	if vaneyoke.CodeOf(err) == vaneyoke.CodeNotFound {
 		return 0, false, nil
 	}
@@ -126,28 +126,28 @@
 	if err := json.Unmarshal(row.Value, &entry); err != nil {
 		return 0, false, vaneyoke.WrapErr(vaneyoke.CodeInternal, err, "operator key")
 	}
-	if entry.Action != note.Action {
+	if entry.Action != audit.Action {
 		return 0, false, vaneyoke.Err(vaneyoke.CodeConflict, "the key was used for another change: %s", entry.Action)
 	}
 	return entry.Revision, true, nil
 }
 
-// unchanged returns an error where a row is not as its author saw it.
-func unchanged(ctx context.Context, table store.Table, changes []Change) error {
+// checkVersions returns an error if a row does not have the expected version.
+func checkVersions(ctx context.Context, table store.Table, changes []Change) error {
 	for _, c := range changes {
 		row, err := table.Get(ctx, store.Key{Partition: c.Partition, ID: c.ID})
 		if err != nil && vaneyoke.CodeOf(err) != vaneyoke.CodeNotFound {
 			return err
 		}
 		if row.Version != c.ExpectedVersion {
-			return vaneyoke.Err(vaneyoke.CodeConflict, "%s %s has version %d and not %d%s", c.Partition, c.ID, row.Version, c.ExpectedVersion, winner(row))
+			return vaneyoke.Err(vaneyoke.CodeConflict, "%s %s has version %d and not %d%s", c.Partition, c.ID, row.Version, c.ExpectedVersion, lastAuthor(row))
 		}
 	}
 	return nil
 }
 
-// winner names who changed a row that tells so.
-func winner(row store.Row) string {
+// lastAuthor returns an addition to an error message that names who last changed a row, "" if the row does not say.
+func lastAuthor(row store.Row) string {
 	var author struct {
 		By string `json:"by"`
 	}
--- a/shell/catalog/doc.go
+++ b/shell/catalog/doc.go
@@ -1,2 +1,2 @@
-// Package catalog holds the fleet's configuration, its upstreams and workspaces, as the platform's table keeps it.
+// Package catalog holds the fleet's configuration: its upstreams, workspaces, policies and nodes, as stored in the platform's table.
 package catalog
--- a/shell/catalog/follower.go
+++ b/shell/catalog/follower.go
@@ -17,69 +17,69 @@
 )
 
 const (
-	// pollJitter is the share of a poll period that is random, so that nodes do not read in step.
+	// pollJitter is the random share of a poll interval; it keeps the nodes from reading at the same moment.
 	pollJitter = 0.2
 )
 
-// Peers asks other nodes which configuration they have in force.
+// Peers queries other nodes for their active configuration.
 type Peers interface {
-	// Known returns the VMs of all nodes that the platform lists.
+	// Known returns the VMs of all nodes in the platform's list.
 	Known() []vaneyoke.VMID
-	// Confirm returns a node's revision, and its configuration as JSON where that is wanted and newer.
+	// Confirm returns a node's revision, and its configuration as JSON if it is wanted and newer than the given revision.
 	Confirm(ctx context.Context, vm vaneyoke.VMID, revision vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte, error)
 }
 
-// Follower keeps the newest configuration that the node has seen, and knows whether it may still rely on it.
+// Follower keeps the newest configuration that the node has seen, and tracks whether it is fresh enough to use.
 type Follower struct {
-	self   Node
-	table  store.Table
-	peers  Peers
-	period time.Duration
-	log    logrus.FieldLogger
-	apply  func(*Snapshot)
-	nudge  chan struct{}
+	self         Node
+	table        store.Table
+	peers        Peers
+	pollInterval time.Duration
+	log          logrus.FieldLogger
+	apply        func(*Snapshot)
+	trigger      chan struct{}
 
 	mu      sync.Mutex
 	current *Snapshot
 	fresh   *freshness.State
 }
 
-// NewFollower returns a follower that reads the revision once in a period and calls apply with each newer configuration.
-// A confirmation by the store or by a majority of the nodes counts for the time that lasts says.
-func NewFollower(self Node, table store.Table, peers Peers, period, lasts time.Duration, log logrus.FieldLogger, apply func(*Snapshot)) *Follower {
+// NewFollower returns a follower that reads the revision once per pollInterval and calls apply with each newer configuration.
+// A confirmation by the store or by a majority of the nodes is valid for the time given as validity.
+func NewFollower(self Node, table store.Table, peers Peers, pollInterval, validity time.Duration, log logrus.FieldLogger, apply func(*Snapshot)) *Follower {
 	return &Follower{
-		self: self, table: table, peers: peers, period: period, log: log, apply: apply,
-		nudge:   make(chan struct{}, 1),
+		self: self, table: table, peers: peers, pollInterval: pollInterval, log: log, apply: apply,
+		trigger: make(chan struct{}, 1),
 		current: New(Content{}),
-		fresh:   freshness.New(self.VM, lasts),
+		fresh:   freshness.New(self.VM, validity),
 	}
 }
 
-// Current returns the newest configuration seen; before the first it has revision 0 and is empty.
+// Current returns the newest configuration seen; until there is one, an empty one with revision 0.
 func (f *Follower) Current() *Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current
 }
 
-// Fresh reports whether the node may take new work.
+// Fresh reports whether the configuration is recent enough to accept new requests.
 func (f *Follower) Fresh(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh.Fresh(now)
 }
 
-// confirms reports whether the node may confirm others.
-func (f *Follower) confirms() bool {
+// canConfirm reports whether the node may confirm the configuration to others.
+func (f *Follower) canConfirm() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh.Confirms() > 0
 }
 
-// TriggerPoll has the store read at once, because a newer revision is said to exist.
+// TriggerPoll makes Run read the store at once, because a newer revision has been reported.
 func (f *Follower) TriggerPoll() {
 	select {
-	case f.nudge <- struct{}{}:
+	case f.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -89,34 +89,34 @@
 	for ctx.Err() == nil {
 		f.Poll(ctx)
 		jitter := 1 - pollJitter*rand.Float64()
-		timer := time.NewTimer(time.Duration(float64(f.period) * jitter))
+		timer := time.NewTimer(time.Duration(float64(f.pollInterval) * jitter))
 		select {
 		case <-ctx.Done():
-		case <-f.nudge:
+		case <-f.trigger:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// Poll reads the store, and asks the other nodes where that fails.
+// Poll reads the store, and queries the other nodes if that fails.
 func (f *Follower) Poll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, f.period)
+	ctx, cancel := context.WithTimeout(ctx, f.pollInterval)
 	defer cancel()
 	err := f.readStore(ctx)
 	if err == nil {
 		return
 	}
 	f.log.WithField("error", err).Warn("configuration_read_failed")
-	f.askPeers(ctx)
+	f.queryPeers(ctx)
 }
 
-// readStore reads the revision, and the configuration where it is newer.
+// readStore reads the revision, and the configuration if it is newer.
 func (f *Follower) readStore(ctx context.Context) error {
-	// Half of the time is kept for asking the other nodes.
-	ctx, cancel := context.WithTimeout(ctx, f.period/2)
+	// The other half of the time is reserved for querying the other nodes.
+	ctx, cancel := context.WithTimeout(ctx, f.pollInterval/2)
 	defer cancel()
-	began := steady.Now()
+	startedAt := steady.Now()
 	revision, err := ReadRevision(ctx, f.table)
 	if err != nil {
 		return err
@@ -126,16 +126,16 @@
 		if err != nil {
 			return err
 		}
-		f.put(snapshot)
+		f.activate(snapshot)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fresh.ReadStore(began, revision)
+	f.fresh.ReadStore(startedAt, revision)
 	return nil
 }
 
-// put puts a configuration in force; an older one is never taken.
-func (f *Follower) put(snapshot *Snapshot) {
+// activate makes a configuration the current one, unless it is older.
+func (f *Follower) activate(snapshot *Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if snapshot.Revision <= f.current.Revision {
@@ -147,57 +147,57 @@
 	f.log.WithField("policy", uint64(snapshot.Revision)).Info("configuration_applied")
 }
 
-// askPeers asks as many of the members, drawn anew each time, as are a majority with the own node and one more,
-// and the rest where those do not confirm the node for long enough.
-// A node that has no configuration yet gets one from any node that it knows, and asks that one's members after.
-func (f *Follower) askPeers(ctx context.Context) {
+// queryPeers queries randomly drawn members, one more than form a majority together with this node,
+// and the rest if those do not confirm the node's configuration for long enough.
+// A node without a configuration first gets one from any node that it knows, and then queries that configuration's members.
+func (f *Follower) queryPeers(ctx context.Context) {
 	if f.Current().Revision == 0 {
-		f.askEach(ctx, f.peers.Known())
+		f.queryEach(ctx, f.peers.Known())
 	}
 	members := slices.DeleteFunc(f.Current().Members(), func(vm vaneyoke.VMID) bool { return vm == f.self.VM })
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	enough := min(freshness.Majority(len(members)+1), len(members))
-	f.askEach(ctx, members[:enough])
-	if !f.Fresh(steady.Now().Add(f.period)) {
-		f.askEach(ctx, members[enough:])
+	f.queryEach(ctx, members[:enough])
+	if !f.Fresh(steady.Now().Add(f.pollInterval)) {
+		f.queryEach(ctx, members[enough:])
 	}
 }
 
-func (f *Follower) askEach(ctx context.Context, vms []vaneyoke.VMID) {
+func (f *Follower) queryEach(ctx context.Context, vms []vaneyoke.VMID) {
 	var wait sync.WaitGroup
 	for _, vm := range vms {
 		if vm != f.self.VM {
-			wait.Go(func() { f.askPeer(ctx, vm) })
+			wait.Go(func() { f.queryPeer(ctx, vm) })
 		}
 	}
 	wait.Wait()
 }
 
-func (f *Follower) askPeer(ctx context.Context, vm vaneyoke.VMID) {
-	began := steady.Now()
+func (f *Follower) queryPeer(ctx context.Context, vm vaneyoke.VMID) {
+	startedAt := steady.Now()
 	revision, raw, err := f.peers.Confirm(ctx, vm, f.Current().Revision, true)
 	if err != nil {
 		return
 	}
 	if len(raw) > 0 {
-		f.takeFromPeer(vm, raw)
+		f.activateFromPeer(vm, raw)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fresh.HeardPeer(began, vm, revision)
+	f.fresh.HeardPeer(startedAt, vm, revision)
 }
 
-func (f *Follower) takeFromPeer(vm vaneyoke.VMID, raw []byte) {
+func (f *Follower) activateFromPeer(vm vaneyoke.VMID, raw []byte) {
 	var content Content
 	if err := json.Unmarshal(raw, &content); err != nil {
 		f.log.WithFields(logrus.Fields{"peer": vm, "error": err}).Error("configuration_from_peer_broken")
 		return
 	}
-	f.put(New(content))
+	f.activate(New(content))
 }
 
-// Answer tells another node which revision this one confirms, and the configuration as JSON where that is wanted and newer; it is none
-// before the node was confirmed itself. Where the other one knows a newer revision, the store is read first.
+// Answer returns the revision that this node confirms to another one, and the configuration as JSON if it is wanted and newer than known.
+// The revision is 0 until this node has been confirmed itself. If the other node knows a newer revision, the store is read first.
 func (f *Follower) Answer(ctx context.Context, known vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte) {
 	if known > f.Current().Revision {
 		if err := f.readStore(ctx); err != nil {
@@ -205,7 +205,7 @@
 		}
 	}
 	current := f.Current()
-	if !f.confirms() {
+	if !f.canConfirm() {
 		return 0, nil
 	}
 	if !want || current.Revision <= known {
--- a/shell/catalog/leave_test.go
+++ b/shell/catalog/leave_test.go
@@ -17,11 +17,11 @@
 	"github.com/vaneyoke/vaneyoke/wire/store/memory"
 )
 
-// faultyTable is a table whose calls go wrong for a number of times.
+// faultyTable is a table some of whose calls fail.
 type faultyTable struct {
 	store.Table
-	lost  atomic.Int64 // transactions whose answers are still to be lost after they took effect
-	hangs atomic.Int64 // reads that are still to hang
+	lostAnswers atomic.Int64 // number of coming transactions that take effect although their answers are lost
+	hangs       atomic.Int64 // number of coming reads that hang
 }
 
 func (f *faultyTable) Get(ctx context.Context, key store.Key) (store.Row, error) {
@@ -34,25 +34,25 @@
 
 func (f *faultyTable) Commit(ctx context.Context, tx store.Tx) error {
 	err := f.Table.Commit(ctx, tx)
-	if f.lost.Add(-1) >= 0 {
+	if f.lostAnswers.Add(-1) >= 0 {
 		return vaneyoke.Err(vaneyoke.CodeStoreUnknown, "the answer was lost")
 	}
 	return err
 }
 
-// TestLeaveGoesOn has the store lose the answers of a whole try to leave, or leave a call without one: the node is off the members all
-// the same, and knows it. A store that never answers is given up with the time that is left.
-func TestLeaveGoesOn(t *testing.T) {
+// TestLeaveRetriesAfterLostAnswers loses the store's answers during a whole attempt to leave, or leaves a call unanswered: the node must still be
+// removed from the members, and Leave must return without an error. If the store never answers, Leave gives up when its time is over.
+func TestLeaveRetriesAfterLostAnswers(t *testing.T) {
 	for name, tc := range map[string]struct {
 		lost, hangs int64
-		most        time.Duration
+		timeLimit   time.Duration
 		fails       bool
 	}{
-		"calm":                {most: 0},
-		"answers lost":        {lost: 4, most: 100 * time.Millisecond},
-		"a call hangs":        {hangs: 1, most: 700 * time.Millisecond},
-		"two calls hang":      {hangs: 2, most: 1400 * time.Millisecond},
-		"nothing is answered": {hangs: 1000, most: 2 * time.Second, fails: true},
+		"calm":                {timeLimit: 0},
+		"answers lost":        {lost: 4, timeLimit: 100 * time.Millisecond},
+		"a call hangs":        {hangs: 1, timeLimit: 700 * time.Millisecond},
+		"two calls hang":      {hangs: 2, timeLimit: 1400 * time.Millisecond},
+		"nothing is answered": {hangs: 1000, timeLimit: 2 * time.Second, fails: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -64,14 +64,14 @@
 				must.NoError(t, f.Join(t.Context()))
 				f.Poll(t.Context())
 				must.SliceContains(t, f.Current().Members(), "vm1")
-				table.lost.Store(tc.lost)
+				table.lostAnswers.Store(tc.lost)
 				table.hangs.Store(tc.hangs)
 				began := time.Now()
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
 				err := f.Leave(ctx)
 				must.EqOp(t, tc.fails, err != nil)
-				must.LessEq(t, tc.most, time.Since(began))
+				must.LessEq(t, tc.timeLimit, time.Since(began))
 				_, err = table.Table.Get(t.Context(), store.Key{Partition: catalog.PartitionNodes, ID: "vm1"})
 				must.EqOp(t, tc.fails, err == nil)
 			})
--- a/shell/catalog/member.go
+++ b/shell/catalog/member.go
@@ -13,31 +13,31 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// AbsentMemberTimeout is how long a member has to be missing from the list of VMs before it is taken for gone for good.
+// AbsentMemberTimeout is how long a member has to be missing from the list of VMs before it is considered permanently gone.
 const AbsentMemberTimeout = 5 * time.Minute
 
-// Tries to leave, for which a stopping node has a third of its grace and two seconds at the most.
+// Attempts to leave. A stopping node has a third of its grace period for all of them, and at most two seconds.
 const (
-	leaveWait  = 600 * time.Millisecond // longest for one of them: a third one follows calls that are lost
-	leavePause = 50 * time.Millisecond  // between two
+	leaveAttemptTimeout = 600 * time.Millisecond // of one attempt; short enough for a third one after two whose calls are lost
+	leaveRetryInterval  = 50 * time.Millisecond  // between two attempts
 )
 
-// MembershipManager keeps the list of the nodes whose confirmation counts.
+// MembershipManager maintains the list of members, the nodes whose confirmation counts.
 //
-// The list is a part of the configuration, and changes by one node at a time, each change only after a majority of the
-// members has the one before: so any two majorities share a node, also across changes. A member that the platform does
-// not list for a long time is taken off without that, because a VM that is gone for good can confirm nobody.
+// The list is part of the configuration. It changes by one node at a time, and only after a majority of the members has the
+// previous change, so that any two majorities share a node, even across changes. A member that the platform has not listed for
+// a long time is removed without waiting for a majority, because a VM that is permanently gone cannot confirm anything.
 type MembershipManager struct {
-	follower *Follower
-	absent   map[vaneyoke.VMID]time.Time // since when a member is not listed
+	follower    *Follower
+	absentSince map[vaneyoke.VMID]time.Time // when a member was first seen to be missing from the list of VMs
 }
 
-// NewMembershipManager returns the upkeep of the follower's list.
+// NewMembershipManager returns a manager of the member list in the follower's configuration.
 func NewMembershipManager(f *Follower) *MembershipManager {
-	return &MembershipManager{follower: f, absent: map[vaneyoke.VMID]time.Time{}}
+	return &MembershipManager{follower: f, absentSince: map[vaneyoke.VMID]time.Time{}}
 }
 
-// Reconcile adds the own node where it is missing, and takes off members that are gone; listed is the platform's list.
+// Reconcile adds this node if it is missing, and removes members that are permanently gone; listed is the platform's list of VMs.
 func (m *MembershipManager) Reconcile(ctx context.Context, now time.Time, listed []store.VM) {
 	f := m.follower
 	current := f.Current()
@@ -45,33 +45,33 @@
 		return
 	}
 	if !slices.Contains(current.Members(), f.self.VM) {
-		m.change(ctx, "node_joined", f.Join)
+		m.apply(ctx, "node_joined", f.Join)
 		return
 	}
-	for _, vm := range m.gone(now, current.Members(), listed) {
-		m.change(ctx, "node_removed", func(ctx context.Context) error { return f.Remove(ctx, vm) })
+	for _, vm := range m.expired(now, current.Members(), listed) {
+		m.apply(ctx, "node_removed", func(ctx context.Context) error { return f.Remove(ctx, vm) })
 	}
 }
 
-// gone returns the members that have not been listed for a long time.
-func (m *MembershipManager) gone(now time.Time, members []vaneyoke.VMID, listed []store.VM) []vaneyoke.VMID {
+// expired returns the members that have not been listed for AbsentMemberTimeout.
+func (m *MembershipManager) expired(now time.Time, members []vaneyoke.VMID, listed []store.VM) []vaneyoke.VMID {
 	present := lo.Map(listed, func(vm store.VM, _ int) vaneyoke.VMID { return vm.ID })
-	var gone []vaneyoke.VMID
+	var expired []vaneyoke.VMID
 	for _, vm := range members {
-		since, missing := m.absent[vm]
+		since, missing := m.absentSince[vm]
 		switch {
 		case vm == m.follower.self.VM || slices.Contains(present, vm):
-			delete(m.absent, vm)
+			delete(m.absentSince, vm)
 		case !missing:
-			m.absent[vm] = now
+			m.absentSince[vm] = now
 		case now.Sub(since) >= AbsentMemberTimeout:
-			gone = append(gone, vm)
+			expired = append(expired, vm)
 		}
 	}
-	return gone
+	return expired
 }
 
-func (m *MembershipManager) change(ctx context.Context, event string, act func(context.Context) error) {
+func (m *MembershipManager) apply(ctx context.Context, event string, act func(context.Context) error) {
 	if err := act(ctx); err != nil {
 		m.follower.log.WithFields(logrus.Fields{"event": event, "error": err}).Debug("membership_unchanged")
 		return
@@ -80,7 +80,7 @@
 	m.follower.TriggerPoll()
 }
 
-// Join makes the own node a member, once a majority has the present configuration.
+// Join makes this node a member, once a majority has the current configuration.
 func (f *Follower) Join(ctx context.Context) error {
 	if _, err := f.AwaitAccepted(ctx, f.Current().Revision); err != nil {
 		return err
@@ -89,30 +89,30 @@
 	return err
 }
 
-// Leave takes the own node off the list before a planned stop; where that fails it is tried again until ctx ends.
+// Leave removes this node from the list before a planned stop; failed attempts are repeated until ctx ends.
 func (f *Follower) Leave(ctx context.Context) error {
 	for {
-		err := f.leave(ctx)
-		if err == nil || !pause.For(ctx, leavePause) {
+		err := f.tryLeave(ctx)
+		if err == nil || !pause.For(ctx, leaveRetryInterval) {
 			return err
 		}
 	}
 }
 
-func (f *Follower) leave(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, leaveWait)
+func (f *Follower) tryLeave(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, leaveAttemptTimeout)
 	defer cancel()
 	if _, err := f.AwaitAccepted(ctx, f.Current().Revision); err != nil {
 		return err
 	}
 	err := f.Remove(ctx, f.self.VM)
-	if vaneyoke.CodeOf(err) == vaneyoke.CodeNotFound { // an earlier try, whose answer was lost, has done it
+	if vaneyoke.CodeOf(err) == vaneyoke.CodeNotFound { // removed by an earlier attempt whose answer was lost
 		return nil
 	}
 	return err
 }
 
-// Remove takes a member off the list.
+// Remove removes a member from the list.
 func (f *Follower) Remove(ctx context.Context, vm vaneyoke.VMID) error {
 	row, err := f.table.Get(ctx, store.Key{Partition: PartitionNodes, ID: string(vm)})
 	if err != nil {
--- a/shell/catalog/read.go
+++ b/shell/catalog/read.go
@@ -20,17 +20,17 @@
 	return vaneyoke.Revision(row.Version), err
 }
 
-// maxBehind is how many revisions a node catches up with by reading just the rows that they changed.
-const maxBehind = 50
+// maxIncrementalRevisions is how many revisions a node catches up with by reading only the rows that they changed.
+const maxIncrementalRevisions = 50
 
-// Read returns the configuration as of one revision, for a node that has old in force.
-// A change in the middle of the reading is told as a race.
+// Read returns the configuration as of one revision, reading only what changed since old where possible.
+// It returns CodeStoreRace if the configuration changes meanwhile.
 func Read(ctx context.Context, table store.Table, old *Snapshot) (*Snapshot, error) {
 	before, err := ReadRevision(ctx, table)
 	if err != nil {
 		return nil, err
 	}
-	content, err := readFrom(ctx, table, old, before)
+	content, err := readSince(ctx, table, old, before)
 	if err != nil {
 		return nil, err
 	}
@@ -45,59 +45,59 @@
 	return New(content), nil
 }
 
-// readFrom reads what changed since old, or all where that would be much or is not known.
-func readFrom(ctx context.Context, table store.Table, old *Snapshot, revision vaneyoke.Revision) (Content, error) {
+// readSince reads what changed since old, or everything if there are too many changes or their log is incomplete.
+func readSince(ctx context.Context, table store.Table, old *Snapshot, revision vaneyoke.Revision) (Content, error) {
 	behind := revision - old.Revision
-	if old.Revision == 0 || behind > maxBehind {
+	if old.Revision == 0 || behind > maxIncrementalRevisions {
 		return readContent(ctx, table)
 	}
-	page, err := table.Scan(ctx, PartitionChanges, auditID(old.Revision), maxBehind+1)
+	page, err := table.Scan(ctx, PartitionChanges, revisionID(old.Revision), maxIncrementalRevisions+1)
 	if err != nil {
 		return Content{}, err
 	}
 	if vaneyoke.Revision(len(page.Rows)) != behind {
 		return readContent(ctx, table)
 	}
-	traces, err := Decode[touched](page.Rows)
+	entries, err := Decode[changeLogEntry](page.Rows)
 	if err != nil {
 		return Content{}, err
 	}
-	return patch(ctx, table, old.Content, traces)
+	return patch(ctx, table, old.Content, entries)
 }
 
-// patch reads the touched rows and puts them into a copy of the old content.
-func patch(ctx context.Context, table store.Table, content Content, traces []touched) (Content, error) {
-	keys := lo.Uniq(lo.FlatMap(traces, func(t touched, _ int) []store.Key { return t.Keys }))
+// patch returns a copy of content with the rows of the entries read again.
+func patch(ctx context.Context, table store.Table, content Content, entries []changeLogEntry) (Content, error) {
+	keys := lo.Uniq(lo.FlatMap(entries, func(e changeLogEntry, _ int) []store.Key { return e.Keys }))
 	for _, key := range keys {
 		row, err := table.Get(ctx, key)
 		if err != nil && vaneyoke.CodeOf(err) != vaneyoke.CodeNotFound {
 			return Content{}, err
 		}
-		if err := content.put(key, row); err != nil {
+		if err := content.setRow(key, row); err != nil {
 			return Content{}, err
 		}
 	}
 	return content, nil
 }
 
-// put replaces, adds or removes one row; lists are copied, because older snapshots hold them too.
-func (c *Content) put(key store.Key, row store.Row) error {
+// setRow replaces, adds or removes one row; lists are copied, because older snapshots share them.
+func (c *Content) setRow(key store.Key, row store.Row) error {
 	var err error
 	switch key.Partition {
 	case PartitionUpstreams:
-		c.Upstreams, err = replace(c.Upstreams, key.ID, row, func(u vaneyoke.Upstream) string { return string(u.ID) })
+		c.Upstreams, err = replaceRow(c.Upstreams, key.ID, row, func(u vaneyoke.Upstream) string { return string(u.ID) })
 	case PartitionWorkspaces:
-		c.Workspaces, err = replace(c.Workspaces, key.ID, row, func(w vaneyoke.Workspace) string { return string(w.ID) })
+		c.Workspaces, err = replaceRow(c.Workspaces, key.ID, row, func(w vaneyoke.Workspace) string { return string(w.ID) })
 	case PartitionPolicies:
-		c.Policies, err = replace(c.Policies, key.ID, row, func(p Policy) string { return p.Name })
+		c.Policies, err = replaceRow(c.Policies, key.ID, row, func(p Policy) string { return p.Name })
 	case PartitionNodes:
-		c.Nodes, err = replace(c.Nodes, key.ID, row, func(n Node) string { return string(n.VM) })
+		c.Nodes, err = replaceRow(c.Nodes, key.ID, row, func(n Node) string { return string(n.VM) })
 	}
 	return err
 }
 
-// replace returns a copy of a list that is sorted by id, with one member as its row says; a row without a value removes it.
-func replace[T any](list []T, id string, row store.Row, idOf func(T) string) ([]T, error) {
+// replaceRow returns a copy of a list sorted by id, with one member set from its row; a row without a value removes the member.
+func replaceRow[T any](list []T, id string, row store.Row, idOf func(T) string) ([]T, error) {
 	at, found := slices.BinarySearchFunc(list, id, func(v T, id string) int { return strings.Compare(idOf(v), id) })
 	rest := list[at:]
 	if found {
--- a/shell/catalog/snapshot.go
+++ b/shell/catalog/snapshot.go
@@ -30,11 +30,11 @@
 // Snapshot is the configuration as of one revision.
 type Snapshot struct {
 	Content
-	byID    map[vaneyoke.WorkspaceID]vaneyoke.Workspace
-	holders map[vaneyoke.KeyHash]Principal
+	workspaceByID map[vaneyoke.WorkspaceID]vaneyoke.Workspace
+	principals    map[vaneyoke.KeyHash]Principal
 }
 
-// Content is what a snapshot holds, in the form in which nodes tell it to one another.
+// Content is the content of a snapshot, in the form in which nodes exchange it.
 type Content struct {
 	Revision   vaneyoke.Revision    `json:"revision"`
 	Upstreams  []vaneyoke.Upstream  `json:"upstreams"`
@@ -43,7 +43,7 @@
 	Nodes      []Node               `json:"nodes"`
 }
 
-// Policy is the program of one policy.
+// Policy holds the program of one policy.
 type Policy struct {
 	Name string    `json:"name"`
 	Text string    `json:"text"`
@@ -51,21 +51,21 @@
 	At   time.Time `json:"at"`
 }
 
-// Node is a member of the fleet, whose confirmation counts when changes are accepted.
+// Node is a member of the fleet, whose confirmation counts for the acceptance of changes.
 type Node struct {
 	VM         vaneyoke.VMID         `json:"vm"`
 	DataCentre vaneyoke.DataCentreID `json:"data_centre"`
 }
 
-// Principal is whom a key speaks for.
+// Principal is the identity that an API key authenticates.
 type Principal struct {
 	Workspace vaneyoke.WorkspaceID
 	Role      vaneyoke.Role
-	Scope     []vaneyoke.WorkspaceID // that an operator's rights are bound to; nil for all
+	Scope     []vaneyoke.WorkspaceID // to which an operator's rights are limited; nil for all
 	Hash      vaneyoke.KeyHash
 }
 
-// HashKey returns the form in which a caller's key is kept.
+// HashKey returns the hash under which a caller's key is stored.
 func HashKey(key string) vaneyoke.KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return vaneyoke.KeyHash(hex.EncodeToString(sum[:]))
@@ -74,14 +74,14 @@
 // New returns a snapshot of the given configuration.
 func New(content Content) *Snapshot {
 	s := &Snapshot{
-		Content: content,
-		byID:    make(map[vaneyoke.WorkspaceID]vaneyoke.Workspace, len(content.Workspaces)),
-		holders: map[vaneyoke.KeyHash]Principal{},
+		Content:       content,
+		workspaceByID: make(map[vaneyoke.WorkspaceID]vaneyoke.Workspace, len(content.Workspaces)),
+		principals:    map[vaneyoke.KeyHash]Principal{},
 	}
 	for _, w := range content.Workspaces {
-		s.byID[w.ID] = w
+		s.workspaceByID[w.ID] = w
 		for _, k := range w.Keys {
-			s.holders[k.Hash] = Principal{Workspace: w.ID, Role: k.Role, Scope: k.Scope, Hash: k.Hash}
+			s.principals[k.Hash] = Principal{Workspace: w.ID, Role: k.Role, Scope: k.Scope, Hash: k.Hash}
 		}
 	}
 	return s
@@ -89,22 +89,22 @@
 
 // Workspace returns a workspace by its id.
 func (s *Snapshot) Workspace(id vaneyoke.WorkspaceID) (vaneyoke.Workspace, bool) {
-	w, ok := s.byID[id]
+	w, ok := s.workspaceByID[id]
 	return w, ok
 }
 
-// Members returns the VMs whose confirmation counts when changes are accepted.
+// Members returns the VMs whose confirmation counts for the acceptance of changes.
 func (s *Snapshot) Members() []vaneyoke.VMID {
 	return lo.Map(s.Nodes, func(n Node, _ int) vaneyoke.VMID { return n.VM })
 }
 
-// Principal returns whom a caller's key speaks for.
+// Principal returns the identity that a caller's key authenticates.
 func (s *Snapshot) Principal(key string) (Principal, bool) {
-	h, ok := s.holders[HashKey(key)]
-	return h, ok
+	p, ok := s.principals[HashKey(key)]
+	return p, ok
 }
 
-// Decode reads the rows of one partition.
+// Decode decodes rows of one partition.
 func Decode[T any](rows []store.Row) ([]T, error) {
 	values := make([]T, 0, len(rows))
 	for _, row := range rows {
--- a/shell/catalog/suspended_test.go
+++ b/shell/catalog/suspended_test.go
@@ -14,11 +14,11 @@
 	"github.com/vaneyoke/vaneyoke/wire/store/memory"
 )
 
-// A node may go by its configuration for 2 s after a confirmation. The clock of a process stands still while its VM is suspended, so that a
-// node which had been suspended for minutes took new work by a configuration of minutes ago, and would have let in a key that was revoked.
+// A node may use its configuration for 2 s after a confirmation. A process's monotonic clock stops while its VM is suspended, so a node that
+// had been suspended for minutes accepted requests with a configuration that was minutes old, and would have accepted a revoked key.
 func TestSuspendedNodeIsNotFresh(t *testing.T) {
-	var behind atomic.Int64
-	t.Cleanup(steady.Pretend(steady.New(func() time.Duration { return time.Duration(behind.Load()) })))
+	var suspended atomic.Int64
+	t.Cleanup(steady.Pretend(steady.New(func() time.Duration { return time.Duration(suspended.Load()) })))
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	table := memory.New()
@@ -27,7 +27,7 @@
 	f := catalog.NewFollower(catalog.Node{VM: "vm1"}, table, nil, time.Second, 2*time.Second, log, func(*catalog.Snapshot) {})
 	f.Poll(t.Context())
 	must.True(t, f.Fresh(steady.Now()))
-	behind.Add(int64(3 * time.Second))
+	suspended.Add(int64(3 * time.Second))
 	must.False(t, f.Fresh(steady.Now()))
 	f.Poll(t.Context())
 	must.True(t, f.Fresh(steady.Now()))
