--- a/process/node/duties_wire.go
+++ b/process/node/duties_wire.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for key, row := range rows {
-		terms, ok, err := platform.DecodeTerms(key, row.Data)
+		terms, ok, err := platform.DecodeScalingConfigs(key, row.Data)
 		if err != nil {
 			t.log.WithFields(logrus.Fields{"key": key, "error": err}).Error("row_unreadable")
 		}
@@ -66,7 +66,7 @@
 	vm, client := vaneyoke.VMID(s.Node.VM), do.MustInvoke[*storeClient](i).http
 	node := duties.New(
 		vm, vaneyoke.Incarnation(rand.Uint64()), dutyConfig(s.Duties),
-		platform.NewLeases(client, s.Gateway.Store), platform.NewUsage(client, s.Gateway.Store), platform.NewDuties(newDutyClient(), s.Duties.Platform, vm),
+		platform.NewLeases(client, s.Gateway.Store), platform.NewUsage(client, s.Gateway.Store), platform.NewDutyClient(newDutyClient(), s.Duties.Platform, vm),
 		do.MustInvoke[*mesh.Node](i), newReportClient(), duties.NewMetrics(do.MustInvoke[*expvar.Map](i)), do.MustInvoke[logrus.FieldLogger](i),
 	)
 	do.MustInvoke[*dutyTables](i).node = node
--- a/process/node/rollouts_wire.go
+++ b/process/node/rollouts_wire.go
@@ -31,7 +31,7 @@
 	}
 	var orders []rollout.Order
 	for key, row := range rows {
-		order, ok, err := platform.DecodeOrder(key, row)
+		order, ok, err := platform.DecodeRolloutOrder(key, row)
 		if err != nil {
 			t.log.WithFields(logrus.Fields{"key": key, "error": err}).Error("row_unreadable")
 		}
@@ -46,7 +46,7 @@
 func (t *rolloutTables) setRecords(now time.Time, rows watch.Rows) {
 	var records []rollout.Row
 	for key, row := range rows {
-		record, err := platform.DecodeRecord(key, row)
+		record, err := platform.DecodeRolloutRecord(key, row)
 		if err != nil {
 			t.log.WithFields(logrus.Fields{"key": key, "error": err}).Error("row_unreadable")
 			continue
