--- a/api/gateway/gateway.go
+++ b/api/gateway/gateway.go
@@ -172,23 +172,23 @@
 func forwardingOf(table *route.Table, r *route.Route, envelope Envelope) relay.Forwarding {
 	service := table.Service(r.ServiceAt(rand.Float64()))
 	return relay.Forwarding{
-		Service:     service.ID,
-		Stream:      r.Kind == route.KindStream,
-		Health:      service.HealthPath,
-		Replicate:   service.Replicas && r.Kind == route.KindStream && r.Resumable,
-		Parts:       envelope.Parts,
-		After:       envelope.After,
-		Goal:        r.LatencyGoal,
-		Pause:       r.EventIntervalGoal,
-		MaxAttempts: r.MaxAttempts,
-		Version:     table.Version(),
+		Service:           service.ID,
+		Stream:            r.Kind == route.KindStream,
+		HealthPath:        service.HealthPath,
+		Replicate:         service.Replicas && r.Kind == route.KindStream && r.Resumable,
+		PromptParts:       envelope.Parts,
+		ResumeAfter:       envelope.After,
+		LatencyGoal:       r.LatencyGoal,
+		EventIntervalGoal: r.EventIntervalGoal,
+		MaxAttempts:       r.MaxAttempts,
+		ConfigRevision:    table.Version(),
 	}
 }
 
 // needed returns how long a node must still run to take a request whose answer may take so long at the most. A call that may
 // be repeated is as well off with a failure as with a refusal, so that it is taken where it is likely to be answered.
 func needed(r *route.Route, longest time.Duration) time.Duration {
-	if suspect := relay.Suspect(r.LatencyGoal); r.Kind == route.KindRepeatable && suspect > 0 {
+	if suspect := relay.SuspectAfter(r.LatencyGoal); r.Kind == route.KindRepeatable && suspect > 0 {
 		return min(longest, suspect)
 	}
 	return longest
--- a/process/node/config.go
+++ b/process/node/config.go
@@ -46,7 +46,7 @@
 		Deviations: s.Recovery.Deviations,
 		Patience:   s.Recovery.Patience,
 	}
-	return relay.Config{Generation: config, PlainEvery: uint64(s.Log.PlainEvery), CallSilence: s.Limits.CallSilence, WholeLimit: s.Limits.WholeLimit}
+	return relay.Config{Generation: config, UneventfulLogEvery: uint64(s.Log.PlainEvery), CallSilence: s.Limits.CallSilence, UnaryTimeout: s.Limits.WholeLimit}
 }
 
 func apiConfig(s settings.Limits) callerapi.Config {
--- a/process/node/crash_guard.go
+++ b/process/node/crash_guard.go
@@ -13,21 +13,21 @@
 // crashGuard tells a relay which requests end the upstreams that run them.
 type crashGuard struct{ crashes *quarantines.Node }
 
-// Crashed notes that an upstream ended as it began to run a request.
-func (g crashGuard) Crashed(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+// RecordCrash notes that an upstream ended as it began to run a request.
+func (g crashGuard) RecordCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.Crashed(content, upstream, sentAt)
 }
 
-// Outlived notes that an upstream goes on which has lost a request as it began to run it.
-func (g crashGuard) Outlived(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+// RecordLossWithoutCrash notes that an upstream goes on which has lost a request as it began to run it.
+func (g crashGuard) RecordLossWithoutCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.Outlived(content, upstream, sentAt)
 }
 
-// Survived notes that an upstream has answered a request in whole.
-func (g crashGuard) Survived(content vaneyoke.ContentID) { g.crashes.Survived(content) }
+// RecordCompletion notes that an upstream has answered a request in whole.
+func (g crashGuard) RecordCompletion(content vaneyoke.ContentID) { g.crashes.Survived(content) }
 
-// Barred reports whether what a request asks is sent to no upstream.
-func (g crashGuard) Barred(content vaneyoke.ContentID) (time.Duration, bool) {
+// Blocked reports whether what a request asks is sent to no upstream.
+func (g crashGuard) Blocked(content vaneyoke.ContentID) (time.Duration, bool) {
 	return g.crashes.Barred(content)
 }
 
--- a/process/node/duties_wire.go
+++ b/process/node/duties_wire.go
@@ -90,15 +90,15 @@
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: idleTimeout}}
 }
 
-// Began counts a request that an upstream began.
-func (b *gatewayPlacer) Began(workspace vaneyoke.WorkspaceID) {
+// CountRequest counts a request that an upstream began.
+func (b *gatewayPlacer) CountRequest(workspace vaneyoke.WorkspaceID) {
 	if b.duties != nil {
 		b.duties.CountRequest(workspace)
 	}
 }
 
-// Used counts what an attempt took of a service's upstream.
-func (b *gatewayPlacer) Used(service vaneyoke.ServiceID, load capacity.Load) {
+// AddLoad counts what an attempt took of a service's upstream.
+func (b *gatewayPlacer) AddLoad(service vaneyoke.ServiceID, load capacity.Load) {
 	if b.duties != nil {
 		b.duties.AddLoad(service, load)
 	}
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -51,25 +51,25 @@
 // Limited reports whether an upstream names a limit.
 func (b *gatewayPlacer) Limited(id vaneyoke.UpstreamID) bool { return b.limits.Limited(id) }
 
-// Permit looks for a permit to send something to an upstream.
-func (b *gatewayPlacer) Permit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
+// AcquirePermit looks for a permit to send something to an upstream.
+func (b *gatewayPlacer) AcquirePermit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
 	return relay.Permit(b.limits.Permit(ctx, id))
 }
 
-// Withheld notes that there was none for an attempt that had been placed.
-func (b *gatewayPlacer) Withheld(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
+// LimitReached notes that there was none for an attempt that had been placed.
+func (b *gatewayPlacer) LimitReached(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
 	b.Balancer.Withheld(need, isRetry, id, permit.Next, permit.Turn)
 }
 
-// Answered notes how an upstream answered.
-func (b *gatewayPlacer) Answered(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
+// RecordAnswer notes how an upstream answered.
+func (b *gatewayPlacer) RecordAnswer(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
 	if b.rollouts != nil {
 		b.rollouts.RecordAnswer(steady.Now(), upstream, route, answer)
 	}
 }
 
-// Doubts reports whether upstreams may have been replaced without the list saying so.
-func (b *gatewayPlacer) Doubts() bool { return b.mesh.Old() }
+// MayBeStale reports whether upstreams may have been replaced without the list saying so.
+func (b *gatewayPlacer) MayBeStale() bool { return b.mesh.Old() }
 
 // FirstToken notes that an attempt's first token came after a while.
 func (b *gatewayPlacer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -91,7 +91,7 @@
 		do.MustInvoke[logrus.FieldLogger](i),
 		relayConfig(s),
 	)
-	placer.crashes.OnBar(r.Bar)
+	placer.crashes.OnBar(r.Quarantine)
 	return r, nil
 }
 
--- a/process/node/wire.go
+++ b/process/node/wire.go
@@ -129,7 +129,7 @@
 		log,
 		relayConfig(s),
 	)
-	crashes.OnBar(r.Bar)
+	crashes.OnBar(r.Quarantine)
 	return r, nil
 }
 
--- a/shell/balancer/balancer.go
+++ b/shell/balancer/balancer.go
@@ -104,8 +104,8 @@
 	return upstream, expect, nil
 }
 
-// Unsent notes that a retry never reached its upstream, so that it does not count.
-func (b *Balancer) Unsent(need placement.Need) {
+// RefundRetry notes that a retry never reached its upstream, so that it does not count.
+func (b *Balancer) RefundRetry(need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(need.Service).GiveBack(time.Now())
@@ -196,22 +196,22 @@
 	return b.state.Offers(need)
 }
 
-// Holders returns the upstreams that may keep a prompt.
-func (b *Balancer) Holders(need placement.Need) []vaneyoke.Upstream {
+// PromptHolders returns the upstreams that may keep a prompt.
+func (b *Balancer) PromptHolders(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.PromptHolders(time.Now(), need)
 }
 
-// Homes returns the upstreams of which one is to get a prompt.
-func (b *Balancer) Homes(need placement.Need) []vaneyoke.Upstream {
+// AffinityUpstreams returns the upstreams of which one is to get a prompt.
+func (b *Balancer) AffinityUpstreams(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.AffinityUpstreams(time.Now(), need)
 }
 
-// Spares returns upstreams that can be asked for their reports because no home of a prompt is free.
-func (b *Balancer) Spares(need placement.Need) []vaneyoke.Upstream {
+// SpilloverUpstreams returns upstreams that can be asked for their reports because no home of a prompt is free.
+func (b *Balancer) SpilloverUpstreams(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.SpilloverUpstreams(time.Now(), b.rng, need)
@@ -231,15 +231,15 @@
 	b.state.Reported(time.Now(), id, report)
 }
 
-// Replica returns an upstream that can keep a replica of a run on another, in another data centre where there is one.
-func (b *Balancer) Replica(need placement.Need, primary vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
+// PickReplica returns an upstream that can keep a replica of a run on another, in another data centre where there is one.
+func (b *Balancer) PickReplica(need placement.Need, primary vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.PickReplica(time.Now(), b.rng, need, primary)
 }
 
-// Released notes that a replica is needed no more.
-func (b *Balancer) Released(replica vaneyoke.UpstreamID, need placement.Need) {
+// ReleaseReplica notes that a replica is needed no more.
+func (b *Balancer) ReleaseReplica(replica vaneyoke.UpstreamID, need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.ReleaseReplica(replica, need)
@@ -287,8 +287,8 @@
 	b.state.SetSplit(service, split)
 }
 
-// Draws reports whether a new request tries the version to which its service moves.
-func (b *Balancer) Draws(service vaneyoke.ServiceID) bool {
+// DrawCanary reports whether a new request tries the version to which its service moves.
+func (b *Balancer) DrawCanary(service vaneyoke.ServiceID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.DrawCanary(b.rng, service)
--- a/shell/failover/push.go
+++ b/shell/failover/push.go
@@ -150,7 +150,7 @@
 		m.forget(s)
 		if s.relay.Running() {
 			running++
-			s.relay.LeaveToNext()
+			s.relay.Detach()
 		}
 	}
 	return running
--- a/shell/relay/attempt.go
+++ b/shell/relay/attempt.go
@@ -18,29 +18,29 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// cancelTimeout bounds the order to an engine to stop a run.
+// cancelTimeout bounds a request to an engine to cancel a run.
 const cancelTimeout = 2 * time.Second
 
-// inspect asks an engine where the lost engine's shown text ended.
-func (s *Session) inspect(e generation.InspectTail, upstream vaneyoke.Upstream) {
-	held, err := s.relay.engines.Held(s.ctx, upstream.URL, s.req.Model, e.IDs)
+// inspectTail asks an engine for the text that the detokenizer of the lost engine had still buffered.
+func (s *Session) inspectTail(e generation.InspectTail, upstream vaneyoke.Upstream) {
+	buffered, err := s.relay.engines.Held(s.ctx, upstream.URL, s.req.Model, e.IDs)
 	if err != nil {
-		s.failed(e.Attempt, &engine.NotSentError{Reason: err.Error()})
+		s.handleError(e.Attempt, &engine.NotSentError{Reason: err.Error()})
 		return
 	}
-	s.handle(time.Now(), generation.TailInspected{Attempt: e.Attempt, Buffered: held})
+	s.handle(time.Now(), generation.TailInspected{Attempt: e.Attempt, Buffered: buffered})
 }
 
-// start opens the attempt's link and follows it in a goroutine.
+// start opens the attempt's link and reads its answer in a goroutine.
 func (s *Session) start(e generation.Start) {
 	l := s.links[e.Attempt]
 	l.base = e.From
 	l.sentAt = time.Now()
 	l.fromReplica = e.FromReplica
-	l.headFirst = s.isStream()
-	s.last = e.Upstream
-	l.name = engine.StreamName(s.req.ID, s.epoch, e.Attempt)
-	ctx := s.open(l, e.Attempt, "attempt")
+	l.headAtStart = s.isStream()
+	s.lastUpstream = e.Upstream
+	l.streamName = engine.StreamName(s.req.ID, s.epoch, e.Attempt)
+	ctx := s.openLink(l, e.Attempt, "attempt")
 	s.relay.metrics.Attempts.Add(1)
 	if e.Attempt > 1 {
 		s.logAttempt(e.Attempt, l.upstream.ID).WithFields(logrus.Fields{
@@ -48,12 +48,12 @@
 		}).Info("attempt_started")
 	}
 	switch m := s.mode.(type) {
-	case *streamed:
-		run := openai.StreamRequest(m.req, e.Prefix, e.From)
-		go s.follow(ctx, e.Attempt, func() (*engine.Stream, error) {
-			return s.relay.engines.Start(ctx, l.upstream.URL, l.name, run, e.From, m.req.Repeatable)
+	case *streaming:
+		engineReq := openai.StreamRequest(m.req, e.Prefix, e.From)
+		go s.readStream(ctx, e.Attempt, func() (*engine.Stream, error) {
+			return s.relay.engines.Start(ctx, l.upstream.URL, l.streamName, engineReq, e.From, m.req.Repeatable)
 		})
-	case *whole:
+	case *unary:
 		go s.call(ctx, e.Attempt, l, m)
 	case *forwarded:
 		go s.forward(ctx, e, m, s.forwardAttempt(e, l, m))
@@ -63,17 +63,17 @@
 // resume opens a link to the stream of an earlier attempt.
 func (s *Session) resume(e generation.Resume) {
 	old := s.links[e.Stream]
-	l := &link{upstream: old.upstream, base: old.base, name: old.name, begun: true, resumed: true}
+	l := &link{upstream: old.upstream, base: old.base, streamName: old.streamName, gotFirstToken: true, resumed: true}
 	s.relay.placer.Resumed(old.upstream.ID)
 	s.links[e.Attempt] = l
-	ctx := s.open(l, e.Attempt, "resume")
+	ctx := s.openLink(l, e.Attempt, "resume")
 	s.relay.metrics.Attempts.Add(1)
-	go s.follow(ctx, e.Attempt, func() (*engine.Stream, error) {
-		return s.relay.engines.Resume(ctx, l.upstream.URL, l.name, l.base, e.From)
+	go s.readStream(ctx, e.Attempt, func() (*engine.Stream, error) {
+		return s.relay.engines.Resume(ctx, l.upstream.URL, l.streamName, l.base, e.From)
 	})
 }
 
-func (s *Session) open(l *link, attempt vaneyoke.Attempt, name string) context.Context {
+func (s *Session) openLink(l *link, attempt vaneyoke.Attempt, name string) context.Context {
 	ctx, cancel := context.WithCancel(s.ctx)
 	ctx, span := s.relay.tracer.Start(ctx, name, trace.WithAttributes(
 		attribute.Int("attempt", int(attempt)),
@@ -87,7 +87,7 @@
 	return ctx
 }
 
-// cancel closes an attempt's link and, where asked, tells the engine to stop the run.
+// cancel closes an attempt's link and, if requested, tells the engine to cancel the run.
 func (s *Session) cancel(e generation.Cancel) {
 	l := s.links[e.Attempt]
 	if l == nil {
@@ -98,15 +98,15 @@
 	outcome := placement.OutcomeDropped
 	if e.Cause == generation.CauseSilent || e.Cause == generation.CauseUnreachable {
 		outcome = outcomeOf(e.Cause)
-		s.noteLoss(e.Attempt, l, e.Cause, nil)
-		s.verify(l, e.Cause)
+		s.recordLoss(e.Attempt, l, e.Cause, nil)
+		s.checkCrash(l, e.Cause)
 	}
 	if e.Cause == generation.CauseSilent {
-		s.answered(l, rollout.Answer{Kind: rollout.AnswerLost})
+		s.recordAnswer(l, rollout.Answer{Kind: rollout.AnswerLost})
 	}
-	s.settle(e.Attempt, outcome)
-	if _, opaque := s.mode.(*forwarded); e.Stop && !opaque { // closing the connection ends an opaque run
-		go s.stopRun(l.upstream, l.name)
+	s.reportOutcome(e.Attempt, outcome)
+	if _, opaque := s.mode.(*forwarded); e.Stop && !opaque { // closing the connection cancels an opaque run
+		go s.stopRun(l.upstream, l.streamName)
 	}
 }
 
@@ -119,29 +119,29 @@
 	}
 }
 
-// settle tells the placer once how an attempt came out.
-func (s *Session) settle(attempt vaneyoke.Attempt, outcome placement.Outcome) {
+// reportOutcome tells the placer the outcome of an attempt, once.
+func (s *Session) reportOutcome(attempt vaneyoke.Attempt, outcome placement.Outcome) {
 	l := s.links[attempt]
-	if l == nil || l.settled {
+	if l == nil || l.outcomeReported {
 		return
 	}
-	l.settled = true
-	s.tookRunning(time.Now(), l, outcome)
+	l.outcomeReported = true
+	s.recordDecode(time.Now(), l, outcome)
 	if l.replica.ID != "" {
-		s.relay.placer.Released(l.replica.ID, s.need)
+		s.relay.placer.ReleaseReplica(l.replica.ID, s.need)
 	}
-	s.relay.placer.Ended(l.upstream.ID, outcome, l.begun)
+	s.relay.placer.Ended(l.upstream.ID, outcome, l.gotFirstToken)
 }
 
-// follow reads an attempt's stream to its end.
-func (s *Session) follow(ctx context.Context, attempt vaneyoke.Attempt, open func() (*engine.Stream, error)) {
+// readStream reads an attempt's stream to its end.
+func (s *Session) readStream(ctx context.Context, attempt vaneyoke.Attempt, open func() (*engine.Stream, error)) {
 	stream, err := open()
 	if err != nil {
-		s.failed(attempt, err)
+		s.handleError(attempt, err)
 		return
 	}
 	defer func() { _ = stream.Close() }()
-	s.headed(attempt)
+	s.recordHead(attempt)
 	received := &generation.Received{Attempt: attempt}
 	for {
 		message, err := stream.Next()
@@ -149,18 +149,18 @@
 			return
 		}
 		if err != nil {
-			s.failed(attempt, err)
+			s.handleError(attempt, err)
 			return
 		}
-		s.take(attempt, received, message)
+		s.handleMessage(attempt, received, message)
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// take gives one message of a stream to the state machine.
-func (s *Session) take(attempt vaneyoke.Attempt, received *generation.Received, message engine.Message) {
+// handleMessage passes one message of a stream to the state machine.
+func (s *Session) handleMessage(attempt vaneyoke.Attempt, received *generation.Received, message engine.Message) {
 	now := time.Now()
 	switch m := message.(type) {
 	case engine.Prompt:
@@ -169,82 +169,82 @@
 		received.Batch = m.Batch
 		s.handleTokens(now, received)
 	case engine.End:
-		s.ended(now, attempt, m.Reason)
+		s.handleEnd(now, attempt, m.Reason)
 	}
 }
 
-// handleTokens tells the placer of an attempt's first tokens, and gives all to the state machine.
+// handleTokens reports an attempt's first tokens to the placer and passes all tokens to the state machine.
 func (s *Session) handleTokens(now time.Time, received *generation.Received) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begin(now, received.Attempt)
+	s.recordFirstToken(now, received.Attempt)
 	if l := s.links[received.Attempt]; l != nil {
-		s.heard(now, l)
+		s.recordReceived(now, l)
 	}
 	s.handleLocked(now, received)
 }
 
-// begin notes the first token of an attempt that was started here.
-func (s *Session) begin(now time.Time, attempt vaneyoke.Attempt) {
+// recordFirstToken records the first token of an attempt that was started here.
+func (s *Session) recordFirstToken(now time.Time, attempt vaneyoke.Attempt) {
 	l := s.links[attempt]
-	if l == nil || l.begun || l.settled {
+	if l == nil || l.gotFirstToken || l.outcomeReported {
 		return
 	}
-	l.begun, l.begunAt = true, now
-	s.tookReading(now, l)
+	l.gotFirstToken, l.firstTokenAt = true, now
+	s.recordPrefill(now, l)
 	if s.isStream() && !l.fromReplica {
-		s.answered(l, rollout.Answer{Kind: rollout.AnswerGood, Took: now.Sub(l.sentAt)})
+		s.recordAnswer(l, rollout.Answer{Kind: rollout.AnswerGood, Took: now.Sub(l.sentAt)})
 	}
 	if !l.sentAt.IsZero() && !l.fromReplica && !s.mayBeCached() {
 		s.relay.placer.FirstToken(l.upstream.ID, now.Sub(l.sentAt), s.need.PromptBytes)
 	}
 }
 
-func (s *Session) ended(now time.Time, attempt vaneyoke.Attempt, reason vaneyoke.FinishReason) {
+func (s *Session) handleEnd(now time.Time, attempt vaneyoke.Attempt, reason vaneyoke.FinishReason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(attempt, placement.OutcomeDone)
-	s.survived()
+	s.reportOutcome(attempt, placement.OutcomeDone)
+	s.recordCompletion()
 	s.handleLocked(now, generation.Ended{Attempt: attempt, Reason: reason})
-	s.close(attempt)
+	s.closeLink(attempt)
 }
 
-// close frees the link of an attempt that needs no cancelling.
-func (s *Session) close(attempt vaneyoke.Attempt) {
+// closeLink releases the link of an attempt that needs no cancellation.
+func (s *Session) closeLink(attempt vaneyoke.Attempt) {
 	if l := s.links[attempt]; l != nil {
 		l.cancel()
 	}
 }
 
-// call sends a whole call; its answer counts as one token.
-func (s *Session) call(ctx context.Context, attempt vaneyoke.Attempt, l *link, m *whole) {
+// call sends a unary call; its answer counts as one token.
+func (s *Session) call(ctx context.Context, attempt vaneyoke.Attempt, l *link, m *unary) {
 	send := s.relay.engines.Call
 	if !s.req.Repeatable {
 		send = s.relay.engines.CallOnce
 	}
-	answer, err := send(ctx, l.upstream.URL+m.path, l.name, m.body)
+	answer, err := send(ctx, l.upstream.URL+m.path, l.streamName, m.body)
 	if err == nil && s.need.Kind == vaneyoke.KindEngine {
 		err = answer.Generated()
 	}
 	if err != nil {
-		s.failed(attempt, err)
+		s.handleError(attempt, err)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if s.need.Kind == vaneyoke.KindService {
-		s.begin(now, attempt)
+		s.recordFirstToken(now, attempt)
 	}
-	s.settle(attempt, placement.OutcomeDone)
-	s.survived()
+	s.reportOutcome(attempt, placement.OutcomeDone)
+	s.recordCompletion()
 	if !s.result.Ended {
 		s.answer = answer
 	}
 	batch := vaneyoke.Batch{IDs: []vaneyoke.TokenID{0}, Text: answer.Body}
 	s.handleLocked(now, &generation.Received{Attempt: attempt, Batch: batch})
 	s.handleLocked(now, generation.Ended{Attempt: attempt, Reason: vaneyoke.FinishStop})
-	s.close(attempt)
+	s.closeLink(attempt)
 }
 
 func (s *Session) logAttempt(attempt vaneyoke.Attempt, upstream vaneyoke.UpstreamID) *logrus.Entry {
--- a/shell/relay/bench_test.go
+++ b/shell/relay/bench_test.go
@@ -29,19 +29,19 @@
 	return b.Bytes()
 }
 
-// fixedBody answers every request with the same stream.
-type fixedBody struct{ body []byte }
+// fixedTransport answers every request with the same stream.
+type fixedTransport struct{ body []byte }
 
-func (f fixedBody) RoundTrip(*http.Request) (*http.Response, error) {
+func (f fixedTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(f.body))}, nil
 }
 
 func newClient() *engine.Client {
-	client := &http.Client{Transport: fixedBody{streamBody()}}
+	client := &http.Client{Transport: fixedTransport{streamBody()}}
 	return engine.New(client, client)
 }
 
-// relayStream carries one stream through parser, state machine and encoder, and returns the tokens given.
+// relayStream passes one stream through the parser, the state machine and the encoder, and returns the number of tokens.
 func relayStream(tb testing.TB, client *engine.Client, out io.Writer) vaneyoke.Tokens {
 	req := &vaneyoke.Request{ID: "r", Endpoint: vaneyoke.EndpointChat, Model: "m"}
 	state := generation.New(generation.DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
@@ -72,7 +72,7 @@
 	}
 }
 
-// BenchmarkToken is the processor time of one token within a node, sockets apart.
+// BenchmarkToken measures the CPU time of one token within a node, without sockets.
 func BenchmarkToken(b *testing.B) {
 	client := newClient()
 	tokens := 0
@@ -83,11 +83,11 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(tokens), "ns/token")
 }
 
-// TestTokenAllocations bounds the allocations of a token, which do not depend on the machine's speed.
+// TestTokenAllocations bounds the allocations per token, which do not depend on the speed of the machine.
 func TestTokenAllocations(t *testing.T) {
-	const most = 3
+	const maxAllocs = 3
 	client := newClient()
 	must.EqOp(t, streamTokens, relayStream(t, client, io.Discard))
 	perStream := testing.AllocsPerRun(20, func() { relayStream(t, client, io.Discard) })
-	must.Less(t, most, perStream/streamTokens)
+	must.Less(t, maxAllocs, perStream/streamTokens)
 }
--- a/shell/relay/bounds.go
+++ b/shell/relay/bounds.go
@@ -7,58 +7,58 @@
 	"github.com/vaneyoke/vaneyoke/decide/generation"
 )
 
-// What a route that names no goal and no pause is taken to aim at.
+// Goals of a route that declares none.
 const (
-	unnamedGoal  = 3 * time.Second
-	unnamedPause = 2 * time.Second // callers wait at least so long for the next event
+	defaultLatencyGoal   = 3 * time.Second
+	defaultEventInterval = 2 * time.Second // callers wait at least this long for the next event
 )
 
-// When an attempt that has given nothing is asked about, probed or given up, as shares of the goal.
+// When an attempt without output is queried, probed or abandoned, as multiples of the latency goal.
 const (
-	firstGoals   = 1.0 / 3 // without a stream's first event after which its upstream is asked
-	askSilent    = 8       // times that it is asked whether it works on the run: three goals in all
-	callGoals    = 3.0     // without an answer to a call that makes an attempt suspect
-	probeGoals   = 0.5     // without a first piece after which the upstream is probed
-	longestProbe = 400 * time.Millisecond
-	unsentGoals  = 0.2 // for which an upstream is looked for before the request is refused
+	firstEventQueryFactor = 1.0 / 3 // a stream without its first event for this long has its upstream queried
+	maxRunQueries         = 8       // queries for the state of the run: three latency goals in total
+	callSuspectFactor     = 3.0     // a call without an answer for this long is suspect
+	probeFactor           = 0.5     // an upstream without a first chunk for this long is probed
+	maxProbeInterval      = 400 * time.Millisecond
+	placementWaitFactor   = 0.2 // the request is refused if no upstream is found for this long
 )
 
-// When a stream between two events is asked about and given up, as shares of the pause that is aimed at. A pause that is still in
-// time has room for three things: to notice that a stream is silent, to ask its upstream, and to go on at another one. Each gets
-// a third of it at the most.
+// When a stream is queried and abandoned between two events, as fractions of the event interval goal. To resume on
+// another upstream within the goal, the relay must detect the silence, query the upstream and start the next attempt;
+// each step may take at most a third.
 const (
-	noticePauses = 1.0 / 3
-	askPauses    = 1.0 / 3
-	floorPauses  = 1.0 / 6                // without an event before which an upstream is not asked
-	usualGaps    = 1.5                    // mean gaps of a stream that are nothing unusual
-	longestAsk   = 200 * time.Millisecond // longest wait for what an upstream says
+	silenceFactor      = 1.0 / 3
+	queryTimeoutFactor = 1.0 / 3
+	minSilenceFactor   = 1.0 / 6                // no query is sent before this silence
+	minMeanGaps        = 1.5                    // silence of up to this many mean gaps of the stream is normal
+	maxQueryTimeout    = 200 * time.Millisecond // longest wait for the answer to a query
 )
 
-// What is left of the caller's time for an upstream.
+// The time that an upstream is given, out of the caller's remaining time.
 const (
-	tellMargin   = 0.02 // share of the time left that the node keeps for itself
-	shortestTold = time.Millisecond
+	deadlineMargin      = 0.02 // fraction of the remaining time that the node reserves for itself
+	minForwardedTimeout = time.Millisecond
 )
 
-// How attempts that reach nobody are repeated.
+// Retries of attempts that reach no upstream.
 const (
-	manyLosses = 64 // in a row
-	retryPause = 10 * time.Millisecond
-	retryCap   = 100 * time.Millisecond
+	maxLosses        = 64 // consecutive
+	retryBaseBackoff = 10 * time.Millisecond
+	retryMaxBackoff  = 100 * time.Millisecond
 )
 
-// decide adds to the node's bounds what the request's route and caller ask for.
-func (f *Forwarding) decide(config *generation.Config, now time.Time) {
+// applyTo adds the settings of the request's route and caller to the node's configuration.
+func (f *Forwarding) applyTo(config *generation.Config, now time.Time) {
 	config.Opaque = true
 	config.Deadline = f.Deadline
 	config.MaxWait = f.Deadline.Sub(now)
-	goal, pause := cmp.Or(f.Goal, unnamedGoal), cmp.Or(f.Pause, unnamedPause)
-	config.MaxPlacementWait = share(goal, unsentGoals)
+	goal, eventInterval := cmp.Or(f.LatencyGoal, defaultLatencyGoal), cmp.Or(f.EventIntervalGoal, defaultEventInterval)
+	config.MaxPlacementWait = scale(goal, placementWaitFactor)
 	config.MaxAttempts = max(f.MaxAttempts, 1)
-	config.MaxLosses = manyLosses
-	config.Backoff = generation.Backoff{Base: retryPause, Cap: retryCap}
+	config.MaxLosses = maxLosses
+	config.Backoff = generation.Backoff{Base: retryBaseBackoff, Cap: retryMaxBackoff}
 	config.Silence.Patience = 1
-	config.ProbeEvery = min(share(goal, probeGoals), longestProbe)
+	config.ProbeEvery = min(scale(goal, probeFactor), maxProbeInterval)
 	switch {
 	case !config.Repeatable:
 		config.ProbeEvery = 0
@@ -66,21 +66,21 @@
 		config.Silence.Floor = config.MaxWait
 		config.Silence.Ceiling = config.MaxWait
 	case f.Stream:
-		config.MaxRunQueries = askSilent
+		config.MaxRunQueries = maxRunQueries
 		config.KeepLastAttempt = true
-		config.Silence.FirstToken = share(goal, firstGoals)
-		config.EventIntervalGoal = pause
-		config.Silence.Floor = share(pause, floorPauses)
-		config.Silence.Ceiling = share(pause, noticePauses)
-		config.Silence.MinMeanGaps = usualGaps
+		config.Silence.FirstToken = scale(goal, firstEventQueryFactor)
+		config.EventIntervalGoal = eventInterval
+		config.Silence.Floor = scale(eventInterval, minSilenceFactor)
+		config.Silence.Ceiling = scale(eventInterval, silenceFactor)
+		config.Silence.MinMeanGaps = minMeanGaps
 	default:
-		config.Silence.FirstToken = Suspect(goal)
+		config.Silence.FirstToken = SuspectAfter(goal)
 		config.Silence.Floor = config.Silence.FirstToken
 	}
 }
 
-// Suspect returns how long a repeatable call may be without an answer before another upstream is tried, 0 where its route
-// aims at no time.
-func Suspect(goal time.Duration) time.Duration { return share(goal, callGoals) }
+// SuspectAfter returns how long a repeatable call may go without an answer before another upstream is tried, 0 if its
+// route has no latency goal.
+func SuspectAfter(goal time.Duration) time.Duration { return scale(goal, callSuspectFactor) }
 
-func share(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
--- a/shell/relay/doc.go
+++ b/shell/relay/doc.go
@@ -1,2 +1,2 @@
-// Package relay runs generations: it carries out the effects of their state machines and lets callers read the answers.
+// Package relay runs generations: it executes the effects of their state machines and lets callers read the answers.
 package relay
--- a/shell/relay/forwarded.go
+++ b/shell/relay/forwarded.go
@@ -16,61 +16,62 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// Forwarding is an opaque request, and what its route asks for.
+// Forwarding is an opaque request with the settings of its route.
 type Forwarding struct {
-	Message     *forward.Message
-	Service     vaneyoke.ServiceID
-	Stream      bool          // whether the answer is a series of numbered events
-	Replicate   bool          // whether an engine may keep a replica of the run's memory
-	Health      string        // path on which the service's upstreams tell who they are; "" where they do not
-	Parts       []string      // of the prompt in order, the last its own; nil for a request without one
-	After       string        // id of the last event that the caller holds; "" for none
-	Deadline    time.Time     // when the caller stops waiting
-	Goal        time.Duration // time to the answer, or to its first event, that is aimed at
-	Pause       time.Duration // pause between events that is aimed at
-	MaxAttempts int
-	Version     vaneyoke.Revision // of the configuration that says so
+	Message           *forward.Message
+	Service           vaneyoke.ServiceID
+	Stream            bool          // whether the answer is a sequence of numbered events
+	Replicate         bool          // whether an engine may keep a replica of the run's KV cache
+	HealthPath        string        // path on which the service's upstreams return their identity; "" if they have none
+	PromptParts       []string      // ids of the prompt's parts in order, the last one identifies the whole prompt; nil for a request without a prompt
+	ResumeAfter       string        // id of the last event that the caller has; "" if it has none
+	Deadline          time.Time     // when the caller stops waiting
+	LatencyGoal       time.Duration // for the answer, or for its first event
+	EventIntervalGoal time.Duration // between two events
+	MaxAttempts       int
+	ConfigRevision    vaneyoke.Revision // revision of the configuration with these settings
 }
 
-// forwarded answers are passed on as they come; a stream goes on after its last event.
+// forwarded answers are passed on as they arrive; after a loss, a stream resumes after its last event.
 type forwarded struct {
 	Forwarding
-	last   string       // id of the last event that was let through, or that the caller held
-	head   forward.Head // of the first upstream whose answer was let through
-	failed *wholeAnswer // the last answer that told of a failure; nil for none
+	lastEventID string       // id of the last accepted event, or of the last event that the caller had
+	head        forward.Head // of the first upstream whose answer was accepted
+	lastFailure *response    // the last response with a server error; nil if there is none
 }
 
-type wholeAnswer struct {
+type response struct {
 	head forward.Head
 	body []byte
 }
 
 func (*forwarded) mode() {}
 
-// prompt names the prompt, so that it is sent where it may have been read before; "" for none.
-func (f *Forwarding) prompt() string {
-	if len(f.Parts) == 0 {
+// affinityKey identifies the prompt, so that it is sent to an upstream that may have it cached; "" if there is no
+// prompt.
+func (f *Forwarding) affinityKey() string {
+	if len(f.PromptParts) == 0 {
 		return ""
 	}
-	return f.Parts[len(f.Parts)-1]
+	return f.PromptParts[len(f.PromptParts)-1]
 }
 
 // Forward starts an opaque request; its session runs until it ends or is abandoned.
 func (r *Relay) Forward(ctx context.Context, req *vaneyoke.Request, f Forwarding) *Session {
 	need := placement.Need{
 		Kind: vaneyoke.KindService, Service: f.Service, Order: req.Order, PromptBytes: req.PromptBytes, Replicate: f.Replicate,
-		Affinity: f.prompt(), AtMostOnce: !req.Repeatable,
+		Affinity: f.affinityKey(), AtMostOnce: !req.Repeatable,
 	}
-	return r.begin(ctx, req, need, &forwarded{Forwarding: f, last: f.After})
+	return r.startSession(ctx, req, need, &forwarded{Forwarding: f, lastEventID: f.ResumeAfter})
 }
 
-// isStream reports whether the answer is a series of opaque events; that does not change.
+// isStream reports whether the answer is a sequence of opaque events; this does not change during the session.
 func (s *Session) isStream() bool {
 	m, ok := s.mode.(*forwarded)
 	return ok && m.Stream
 }
 
-// Head returns the start of the answer; it is known as soon as Read has returned something.
+// Head returns the head of the answer; it is set once Read has returned data.
 func (s *Session) Head() forward.Head {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,102 +81,102 @@
 	return forward.Head{}
 }
 
-// forwardAttempt returns what is sent to an upstream.
+// forwardAttempt returns the message for an upstream.
 func (s *Session) forwardAttempt(e generation.Start, l *link, m *forwarded) *forward.Attempt {
-	left := time.Until(m.Deadline)
+	remaining := time.Until(m.Deadline)
 	return &forward.Attempt{
 		Request:     s.req.ID,
-		Repeat:      l.retry,
+		Repeat:      l.isRetry,
 		Message:     m.Message,
 		Upstream:    l.upstream,
-		Left:        max(left-share(left, tellMargin), shortestTold),
+		Left:        max(remaining-scale(remaining, deadlineMargin), minForwardedTimeout),
 		Workspace:   s.req.Workspace,
 		Priority:    s.req.Priority,
 		Stream:      m.Stream,
-		After:       m.last,
+		After:       m.lastEventID,
 		Replica:     l.replica,
 		FromReplica: e.FromReplica,
 	}
 }
 
-// forward sends an attempt and takes in its answer.
-func (s *Session) forward(ctx context.Context, e generation.Start, m *forwarded, send *forward.Attempt) {
+// forward sends an attempt and handles its answer.
+func (s *Session) forward(ctx context.Context, e generation.Start, m *forwarded, outgoing *forward.Attempt) {
 	attempt := e.Attempt
-	exchange, err := s.relay.sender.Send(ctx, send)
+	exchange, err := s.relay.sender.Send(ctx, outgoing)
 	if err != nil {
-		s.failed(attempt, err)
+		s.handleError(attempt, err)
 		return
 	}
 	defer func() { _ = exchange.Close() }()
-	s.headed(attempt)
+	s.recordHead(attempt)
 	if exchange.Events() {
-		s.passEvents(ctx, e, m, exchange)
+		s.handleEvents(ctx, e, m, exchange)
 		return
 	}
 	body, err := exchange.Body()
 	if err != nil {
-		s.failed(attempt, err)
+		s.handleError(attempt, err)
 		return
 	}
-	s.passWhole(attempt, m, wholeAnswer{head: exchange.Head(), body: body})
+	s.handleResponse(attempt, m, response{head: exchange.Head(), body: body})
 }
 
-// headed notes that the head of an attempt's answer has come.
-func (s *Session) headed(attempt vaneyoke.Attempt) {
+// recordHead records that the head of an attempt's answer has arrived.
+func (s *Session) recordHead(attempt vaneyoke.Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.links[attempt].headAt, s.links[attempt].heardAt = now, now
+	s.links[attempt].headAt, s.links[attempt].lastReceivedAt = now, now
 }
 
-// mayBeCached reports whether the caller comes back with a prompt that was read before, so that the time to its first
-// piece says nothing of how long prompts take.
+// mayBeCached reports whether the caller has received a part of the answer before, so that the prompt may be cached and
+// the time to the first chunk does not tell how long its prefill takes.
 func (s *Session) mayBeCached() bool {
 	m, ok := s.mode.(*forwarded)
-	return ok && m.After != ""
+	return ok && m.ResumeAfter != ""
 }
 
-// probe asks whether an attempt's upstream is there.
+// probe checks whether an attempt's upstream accepts connections.
 func (s *Session) probe(e generation.Probe) {
 	s.mu.Lock()
 	l := s.links[e.Attempt]
 	s.mu.Unlock()
-	alive := s.relay.isThere(s.ctx, l.upstream)
-	s.handle(time.Now(), generation.Probed{Attempt: e.Attempt, Alive: alive})
+	reachable := s.relay.isReachable(s.ctx, l.upstream)
+	s.handle(time.Now(), generation.Probed{Attempt: e.Attempt, Alive: reachable})
 }
 
-// ask asks what an attempt's upstream does for its run.
-func (s *Session) ask(e generation.QueryRun) {
+// queryRun asks an attempt's upstream for the state of its run.
+func (s *Session) queryRun(e generation.QueryRun) {
 	s.mu.Lock()
 	l := s.links[e.Attempt]
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(s.ctx, s.askWait(e))
+	ctx, cancel := context.WithTimeout(s.ctx, s.queryTimeout(e))
 	defer cancel()
-	work, made := s.workOf(ctx, e, l.upstream)
+	state, produced := s.runState(ctx, e, l.upstream)
 	s.logAttempt(e.Attempt, l.upstream.ID).WithFields(logrus.Fields{
-		"work": work, "made": made, "silent_ms": e.SilentFor.Milliseconds(),
+		"work": state, "made": produced, "silent_ms": e.SilentFor.Milliseconds(),
 	}).Info("upstream_asked")
-	s.handle(time.Now(), generation.RunReported{Attempt: e.Attempt, State: work, Produced: made})
+	s.handle(time.Now(), generation.RunReported{Attempt: e.Attempt, State: state, Produced: produced})
 }
 
-// workOf returns what an upstream does for a run, and how many pieces of its answer it has made.
-func (s *Session) workOf(ctx context.Context, e generation.QueryRun, upstream vaneyoke.Upstream) (vaneyoke.RunState, vaneyoke.Tokens) {
-	if s.relay.mayAsk(ctx, upstream.ID) {
+// runState returns the state of a run on an upstream and the number of chunks that it has produced.
+func (s *Session) runState(ctx context.Context, e generation.QueryRun, upstream vaneyoke.Upstream) (vaneyoke.RunState, vaneyoke.Tokens) {
+	if s.relay.mayQuery(ctx, upstream.ID) {
 		return s.relay.sender.Work(ctx, upstream, s.req.ID)
 	}
-	return s.workWithin(e, upstream)
+	return s.inferRunState(e, upstream)
 }
 
-// askWait returns how long an upstream is given to say what it does for a run.
-func (s *Session) askWait(e generation.QueryRun) time.Duration {
-	if m, ok := s.mode.(*forwarded); ok && e.HasOutput && m.Pause > 0 {
-		return min(longestAsk, share(m.Pause, askPauses))
+// queryTimeout returns how long to wait for an upstream's answer to a query.
+func (s *Session) queryTimeout(e generation.QueryRun) time.Duration {
+	if m, ok := s.mode.(*forwarded); ok && e.HasOutput && m.EventIntervalGoal > 0 {
+		return min(maxQueryTimeout, scale(m.EventIntervalGoal, queryTimeoutFactor))
 	}
-	return longestAsk
+	return maxQueryTimeout
 }
 
-// passEvents takes in a stream's events.
-func (s *Session) passEvents(ctx context.Context, e generation.Start, m *forwarded, exchange forward.Exchange) {
+// handleEvents handles the events of a stream.
+func (s *Session) handleEvents(ctx context.Context, e generation.Start, m *forwarded, exchange forward.Exchange) {
 	attempt := e.Attempt
 	received := &generation.Received{Attempt: attempt}
 	received.Batch.IDs = []vaneyoke.TokenID{0}
@@ -183,64 +184,66 @@
 	for ctx.Err() == nil {
 		event, err := exchange.Next()
 		if errors.Is(err, io.EOF) {
-			s.ended(time.Now(), attempt, vaneyoke.FinishStop)
+			s.handleEnd(time.Now(), attempt, vaneyoke.FinishStop)
 			return
 		}
 		if err != nil {
-			s.failed(attempt, err)
+			s.handleError(attempt, err)
 			return
 		}
 		received.Batch.Text = event.Data
-		s.passEvent(received, m, exchange.Head(), event.ID)
+		s.handleEvent(received, m, exchange.Head(), event.ID)
 		received.Batch.First++
 	}
 }
 
-// passEvent gives one event to the state machine, and keeps its id, and the head of the first, where it was let through.
-func (s *Session) passEvent(received *generation.Received, m *forwarded, head forward.Head, id string) {
+// handleEvent passes one event to the state machine; if it was accepted, it keeps the event's id and the head of the
+// first event's answer.
+func (s *Session) handleEvent(received *generation.Received, m *forwarded, head forward.Head, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.begin(now, received.Attempt)
-	s.pacePiece(now, s.links[received.Attempt])
-	before := s.state.Transcript().Len()
+	s.recordFirstToken(now, received.Attempt)
+	s.recordChunk(now, s.links[received.Attempt])
+	lenBefore := s.state.Transcript().Len()
 	s.handleLocked(now, received)
-	if s.state.Transcript().Len() == before {
+	if s.state.Transcript().Len() == lenBefore {
 		return
 	}
-	m.last = id
-	if before == 0 {
+	m.lastEventID = id
+	if lenBefore == 0 {
 		m.head = head
 	}
 }
 
-// passWhole gives a whole answer to the state machine; a failure is tried again where that is allowed.
-func (s *Session) passWhole(attempt vaneyoke.Attempt, m *forwarded, answer wholeAnswer) {
+// handleResponse passes a complete response to the state machine; a failure is retried if allowed.
+func (s *Session) handleResponse(attempt vaneyoke.Attempt, m *forwarded, resp response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.links[attempt]
 	if l.fenced || s.result.Ended {
 		return
 	}
-	s.answered(l, wholeOutcome(answer.head.Status, time.Since(l.sentAt)))
-	if falsePromise(answer.head.Status) {
-		s.lostLocked(attempt, generation.CauseFailed, &engine.StatusError{Status: answer.head.Status})
+	s.recordAnswer(l, answerOf(resp.head.Status, time.Since(l.sentAt)))
+	if claimsNotRun(resp.head.Status) {
+		s.handleLossLocked(attempt, generation.CauseFailed, &engine.StatusError{Status: resp.head.Status})
 		return
 	}
-	if answer.head.Status >= http.StatusInternalServerError && s.req.Repeatable {
-		m.failed = &answer
-		s.lostLocked(attempt, generation.CauseFailed, &engine.StatusError{Status: answer.head.Status})
+	if resp.head.Status >= http.StatusInternalServerError && s.req.Repeatable {
+		m.lastFailure = &resp
+		s.handleLossLocked(attempt, generation.CauseFailed, &engine.StatusError{Status: resp.head.Status})
 		return
 	}
-	if s.state.Transcript().Len() > 0 { // a stream that has begun cannot end in another answer
-		s.lostLocked(attempt, generation.CauseMalformed, &engine.StatusError{Status: answer.head.Status})
+	if s.state.Transcript().Len() > 0 { // a stream that has begun must not end in a complete response
+		s.handleLossLocked(attempt, generation.CauseMalformed, &engine.StatusError{Status: resp.head.Status})
 		return
 	}
-	s.deliver(attempt, m, answer)
+	s.deliverResponse(attempt, m, resp)
 }
 
-// falsePromise reports whether a status promises that the request was not run, which an upstream that did run it must not say.
-func falsePromise(status int) bool {
+// claimsNotRun reports whether a status promises that the request was not run; an upstream that did run it must not
+// return one of these.
+func claimsNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -249,26 +252,27 @@
 	}
 }
 
-// deliver makes a whole answer the request's.
-func (s *Session) deliver(attempt vaneyoke.Attempt, m *forwarded, answer wholeAnswer) {
+// deliverResponse makes a complete response the answer to the request.
+func (s *Session) deliverResponse(attempt vaneyoke.Attempt, m *forwarded, resp response) {
 	now := time.Now()
-	s.begin(now, attempt)
-	s.settle(attempt, placement.OutcomeDone)
-	s.survived()
-	m.head = answer.head
-	batch := vaneyoke.Batch{IDs: []vaneyoke.TokenID{0}, Text: answer.body}
+	s.recordFirstToken(now, attempt)
+	s.reportOutcome(attempt, placement.OutcomeDone)
+	s.recordCompletion()
+	m.head = resp.head
+	batch := vaneyoke.Batch{IDs: []vaneyoke.TokenID{0}, Text: resp.body}
 	s.handleLocked(now, &generation.Received{Attempt: attempt, Batch: batch})
 	s.handleLocked(now, generation.Ended{Attempt: attempt, Reason: vaneyoke.FinishStop})
-	s.close(attempt)
+	s.closeLink(attempt)
 }
 
-// LastFailure returns the upstream's own answer to a request that failed at every try; ok is false where there is none.
+// LastFailure returns the upstream's own response to a request that failed on every attempt; ok is false if there is
+// none.
 func (s *Session) LastFailure() (head forward.Head, body []byte, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, isForwarded := s.mode.(*forwarded)
-	if !isForwarded || m.failed == nil {
+	if !isForwarded || m.lastFailure == nil {
 		return forward.Head{}, nil, false
 	}
-	return m.failed.head, m.failed.body, true
+	return m.lastFailure.head, m.lastFailure.body, true
 }
--- a/shell/relay/forwarded_test.go
+++ b/shell/relay/forwarded_test.go
@@ -22,23 +22,23 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// inTurn places attempts on upstreams in their order.
-type inTurn struct {
+// sequentialPlacer places each attempt on the next upstream.
+type sequentialPlacer struct {
 	mu      sync.Mutex
 	next    int
-	retries int // that were placed, less those that were never sent
+	retries int // placed retries, less the refunded ones
 
 	incarnation vaneyoke.Incarnation // of each upstream
 }
 
-// Unsent takes a retry back.
-func (p *inTurn) Unsent(placement.Need) {
+// RefundRetry uncounts a retry.
+func (p *sequentialPlacer) RefundRetry(placement.Need) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retries--
 }
 
-func (p *inTurn) Place(_ placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
+func (p *sequentialPlacer) Place(_ placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.next++
@@ -49,78 +49,80 @@
 	return vaneyoke.Upstream{ID: id, URL: "http://" + string(id), Incarnation: p.incarnation}, 0, nil
 }
 
-func (*inTurn) Admit(placement.Need)                          {}
-func (*inTurn) Holders(placement.Need) []vaneyoke.Upstream    { return nil }
-func (*inTurn) Homes(placement.Need) []vaneyoke.Upstream      { return nil }
-func (*inTurn) HasRoom(placement.Need) bool                   { return true }
-func (*inTurn) Spares(placement.Need) []vaneyoke.Upstream     { return nil }
-func (*inTurn) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport) {}
-func (*inTurn) Replica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
+func (*sequentialPlacer) Admit(placement.Need)                                  {}
+func (*sequentialPlacer) PromptHolders(placement.Need) []vaneyoke.Upstream      { return nil }
+func (*sequentialPlacer) AffinityUpstreams(placement.Need) []vaneyoke.Upstream  { return nil }
+func (*sequentialPlacer) HasRoom(placement.Need) bool                           { return true }
+func (*sequentialPlacer) SpilloverUpstreams(placement.Need) []vaneyoke.Upstream { return nil }
+func (*sequentialPlacer) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport)     {}
+func (*sequentialPlacer) PickReplica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	return vaneyoke.Upstream{}, false
 }
-func (*inTurn) Released(vaneyoke.UpstreamID, placement.Need)       {}
-func (*inTurn) FirstToken(vaneyoke.UpstreamID, time.Duration, int) {}
-func (*inTurn) Resumed(vaneyoke.UpstreamID)                        {}
-func (*inTurn) Ended(vaneyoke.UpstreamID, placement.Outcome, bool) {}
+func (*sequentialPlacer) ReleaseReplica(vaneyoke.UpstreamID, placement.Need) {}
+func (*sequentialPlacer) FirstToken(vaneyoke.UpstreamID, time.Duration, int) {}
+func (*sequentialPlacer) Resumed(vaneyoke.UpstreamID)                        {}
+func (*sequentialPlacer) Ended(vaneyoke.UpstreamID, placement.Outcome, bool) {}
 
-// stubborn is an upstream's answer that goes on after its attempt was given up, as one does whose bytes were already there.
-type stubborn struct {
+// lateExchange is an answer that continues after its attempt was abandoned, as with bytes that have already arrived.
+type lateExchange struct {
 	from   string
-	delay  time.Duration // before each event, whatever becomes of the attempt
+	delay  time.Duration // before each event, even after the attempt was abandoned
 	events int
-	breaks bool // whether it breaks off after its events
-	given  int
+	breaks bool // whether the connection breaks after the events
+	sent   int
 }
 
-func (s *stubborn) Head() forward.Head {
+func (s *lateExchange) Head() forward.Head {
 	return forward.Head{Status: http.StatusOK, Header: http.Header{"From": {s.from}}}
 }
-func (*stubborn) Events() bool          { return true }
-func (*stubborn) Body() ([]byte, error) { return nil, io.ErrUnexpectedEOF }
-func (*stubborn) Close() error          { return nil }
-func (s *stubborn) Next() (forward.Event, error) {
+func (*lateExchange) Events() bool          { return true }
+func (*lateExchange) Body() ([]byte, error) { return nil, io.ErrUnexpectedEOF }
+func (*lateExchange) Close() error          { return nil }
+func (s *lateExchange) Next() (forward.Event, error) {
 	time.Sleep(s.delay)
-	if s.given == s.events && s.breaks {
+	if s.sent == s.events && s.breaks {
 		return forward.Event{}, io.ErrUnexpectedEOF
 	}
-	if s.given == s.events {
+	if s.sent == s.events {
 		return forward.Event{}, io.EOF
 	}
-	s.given++
-	return forward.Event{ID: string(rune('0' + s.given)), Data: []byte(s.from)}, nil
+	s.sent++
+	return forward.Event{ID: string(rune('0' + s.sent)), Data: []byte(s.from)}, nil
 }
 
-// sender answers attempts with the exchanges of their upstreams.
-type sender struct {
-	answers map[vaneyoke.UpstreamID]forward.Exchange
-	waits   map[vaneyoke.UpstreamID]time.Duration       // before the head comes
-	reached bool                                        // whether the first upstream takes connections
-	work    vaneyoke.RunState                               // that every upstream says it does
-	has     map[vaneyoke.UpstreamID]vaneyoke.UpstreamID // who has the address of an upstream, as far as it says so
+// fakeSender answers attempts with the exchanges of their upstreams.
+type fakeSender struct {
+	answers    map[vaneyoke.UpstreamID]forward.Exchange
+	waits      map[vaneyoke.UpstreamID]time.Duration       // before the head arrives
+	reachable  bool                                        // whether the first upstream accepts connections
+	runState   vaneyoke.RunState                           // of each run, as every upstream reports it
+	identities map[vaneyoke.UpstreamID]vaneyoke.UpstreamID // the upstream at the address of another, if it is known
 }
 
-func (s *sender) Send(_ context.Context, a *forward.Attempt) (forward.Exchange, error) {
+func (s *fakeSender) Send(_ context.Context, a *forward.Attempt) (forward.Exchange, error) {
 	time.Sleep(s.waits[a.Upstream.ID])
 	if exchange, ok := s.answers[a.Upstream.ID]; ok {
 		return exchange, nil
 	}
-	return nil, &engine.NotSentError{Reason: "nobody there"}
+	return nil, &engine.NotSentError{Reason: "connection refused"}
 }
 
-func (*sender) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
+func (*fakeSender) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
 	return vaneyoke.LoadReport{}, false
 }
-func (*sender) Holds(context.Context, vaneyoke.Upstream, []string) bool { return false }
-func (s *sender) Work(context.Context, vaneyoke.Upstream, vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
-	return s.work, 0
+func (*fakeSender) Holds(context.Context, vaneyoke.Upstream, []string) bool { return false }
+func (s *fakeSender) Work(context.Context, vaneyoke.Upstream, vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
+	return s.runState, 0
 }
-func (s *sender) Identity(_ context.Context, u vaneyoke.Upstream, _ string) (vaneyoke.UpstreamID, bool) {
-	id, ok := s.has[u.ID]
+func (s *fakeSender) Identity(_ context.Context, u vaneyoke.Upstream, _ string) (vaneyoke.UpstreamID, bool) {
+	id, ok := s.identities[u.ID]
 	return id, ok
 }
-func (s *sender) Probe(_ context.Context, u vaneyoke.Upstream) bool { return s.reached || u.ID != "a" }
+func (s *fakeSender) Probe(_ context.Context, u vaneyoke.Upstream) bool {
+	return s.reachable || u.ID != "a"
+}
 
-func newForwarder(s forward.Sender) *relay.Relay { return newForwarderWith(s, &inTurn{}) }
+func newForwarder(s forward.Sender) *relay.Relay { return newForwarderWith(s, &sequentialPlacer{}) }
 
 func newForwarderWith(s forward.Sender, placer relay.Placer) *relay.Relay {
 	log := logrus.New()
@@ -129,20 +131,20 @@
 	return relay.New(nil, s, placer, noop.NewTracerProvider().Tracer(""), relay.NewMetrics(new(expvar.Map).Init()), log, config)
 }
 
-// TestLateAnswerOfAGivenUpAttemptIsNotMixed has the first attempt's answer come after a probe has found its upstream gone:
-// neither its events nor its head may stand in the answer of the second.
-func TestLateAnswerOfAGivenUpAttemptIsNotMixed(t *testing.T) {
+// TestLateOutputOfAbandonedAttemptIsNotMixedIn has the first attempt's answer arrive after a probe has found its
+// upstream gone: neither its events nor its head may appear in the answer of the second attempt.
+func TestLateOutputOfAbandonedAttemptIsNotMixedIn(t *testing.T) {
 	cases := map[string]struct{ headWait, eventWait time.Duration }{
-		"head was there, event late": {0, 500 * time.Millisecond},
-		"head and event late":        {500 * time.Millisecond, 0},
+		"head in time, event late": {0, 500 * time.Millisecond},
+		"head and event late":      {500 * time.Millisecond, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &sender{
+				s := &fakeSender{
 					answers: map[vaneyoke.UpstreamID]forward.Exchange{
-						"a": &stubborn{from: "a", delay: tc.eventWait, events: 3},
-						"b": &stubborn{from: "b", delay: time.Second, events: 3},
+						"a": &lateExchange{from: "a", delay: tc.eventWait, events: 3},
+						"b": &lateExchange{from: "b", delay: time.Second, events: 3},
 					},
 					waits: map[vaneyoke.UpstreamID]time.Duration{"a": tc.headWait},
 				}
@@ -150,7 +152,7 @@
 				now := time.Now()
 				session := r.Forward(t.Context(), &vaneyoke.Request{ID: "r", Repeatable: true, ReceivedAt: now}, relay.Forwarding{
 					Message: &forward.Message{}, Service: "lm", Stream: true, Deadline: now.Add(time.Minute),
-					Goal: 10 * time.Second, Pause: 10 * time.Second, MaxAttempts: 3,
+					LatencyGoal: 10 * time.Second, EventIntervalGoal: 10 * time.Second, MaxAttempts: 3,
 				})
 				result, err := session.Wait(t.Context())
 				must.NoError(t, err)
@@ -164,25 +166,25 @@
 	}
 }
 
-// TestNothingBeginsAfterAnInterrupt interrupts a relay: the answer that is under way is told as one that may have run, and a
+// TestInterruptEndsSessionsAndRefusesNewOnes interrupts a relay: the running request is reported as possibly run, and a
 // later one as not run, which no upstream gets.
-func TestNothingBeginsAfterAnInterrupt(t *testing.T) {
+func TestInterruptEndsSessionsAndRefusesNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sender{
-			answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &stubborn{from: "a", events: 1}, "b": &stubborn{from: "b", events: 1}},
+		s := &fakeSender{
+			answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 1}, "b": &lateExchange{from: "b", events: 1}},
 			waits:   map[vaneyoke.UpstreamID]time.Duration{"a": time.Second},
 		}
 		r := newForwarder(s)
-		begin := func() *relay.Session {
+		start := func() *relay.Session {
 			now := time.Now()
 			return r.Forward(t.Context(), &vaneyoke.Request{ID: "r", ReceivedAt: now}, relay.Forwarding{
-				Message: &forward.Message{}, Service: "shop", Stream: true, Deadline: now.Add(time.Minute), Goal: 10 * time.Second, MaxAttempts: 1,
+				Message: &forward.Message{}, Service: "shop", Stream: true, Deadline: now.Add(time.Minute), LatencyGoal: 10 * time.Second, MaxAttempts: 1,
 			})
 		}
-		before := begin()
+		before := start()
 		time.Sleep(100 * time.Millisecond)
 		must.EqOp(t, 1, r.Interrupt())
-		after := begin()
+		after := start()
 		for session, code := range map[*relay.Session]vaneyoke.Code{before: vaneyoke.CodeMayHaveRun, after: vaneyoke.CodeStopping} {
 			result, err := session.Wait(t.Context())
 			must.NoError(t, err)
@@ -190,20 +192,20 @@
 		}
 		must.EqOp(t, 0, r.Interrupt())
 		time.Sleep(time.Minute)
-		must.Zero(t, s.answers["b"].(*stubborn).given)
+		must.Zero(t, s.answers["b"].(*lateExchange).sent)
 		r.Close()
 		synctest.Wait()
 	})
 }
 
-// TestRouteThatAimsAtNothing gives no goal and no pause: an upstream that works at its ease is left to it.
-func TestRouteThatAimsAtNothing(t *testing.T) {
+// TestSlowStreamWithoutGoalsIsNotAbandoned forwards a request without goals: a slow upstream keeps its run.
+func TestSlowStreamWithoutGoalsIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sender{
+		s := &fakeSender{
 			answers: map[vaneyoke.UpstreamID]forward.Exchange{
-				"a": &stubborn{from: "a", delay: 390 * time.Millisecond, events: 5}, // the first one before it is probed
+				"a": &lateExchange{from: "a", delay: 390 * time.Millisecond, events: 5}, // the first one arrives before the upstream is probed
 			},
-			work: vaneyoke.RunStateRunning,
+			runState: vaneyoke.RunStateRunning,
 		}
 		r := newForwarder(s)
 		now := time.Now()
@@ -220,19 +222,19 @@
 	})
 }
 
-// TestRetriesThatReachNobodyCostNothing has the first upstream break off and the next two refuse connections: only the attempt
-// that reached the fourth counts as a retry.
-func TestRetriesThatReachNobodyCostNothing(t *testing.T) {
+// TestUnsentRetriesAreRefunded has the first upstream break the stream and the next two refuse connections: only the
+// attempt that reached the fourth counts as a retry.
+func TestUnsentRetriesAreRefunded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sender{answers: map[vaneyoke.UpstreamID]forward.Exchange{
-			"a": &stubborn{from: "a", breaks: true},
-			"d": &stubborn{from: "d", events: 3},
+		s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{
+			"a": &lateExchange{from: "a", breaks: true},
+			"d": &lateExchange{from: "d", events: 3},
 		}}
-		placer := &inTurn{}
+		placer := &sequentialPlacer{}
 		now := time.Now()
 		session := newForwarderWith(s, placer).Forward(t.Context(), &vaneyoke.Request{ID: "r", Repeatable: true, ReceivedAt: now}, relay.Forwarding{
 			Message: &forward.Message{}, Service: "lm", Stream: true, Deadline: now.Add(time.Minute),
-			Goal: 10 * time.Second, Pause: 10 * time.Second, MaxAttempts: 5,
+			LatencyGoal: 10 * time.Second, EventIntervalGoal: 10 * time.Second, MaxAttempts: 5,
 		})
 		_, err := session.Wait(t.Context())
 		must.NoError(t, err)
@@ -241,45 +243,46 @@
 	})
 }
 
-// doubtfulPlacer places attempts on upstreams in turn, and says whether its list may be out of date.
-type doubtfulPlacer struct {
-	inTurn
-	doubts   bool
-	replaced []vaneyoke.UpstreamID
+// stalePlacer places attempts in sequence, and reports whether its list may be stale.
+type stalePlacer struct {
+	sequentialPlacer
+	mayBeStale bool
+	replaced   []vaneyoke.UpstreamID
 }
 
-func (p *doubtfulPlacer) Doubts() bool { return p.doubts }
-func (p *doubtfulPlacer) Replaced(_ placement.Need, _ bool, id vaneyoke.UpstreamID) {
+func (p *stalePlacer) MayBeStale() bool { return p.mayBeStale }
+func (p *stalePlacer) Replaced(_ placement.Need, _ bool, id vaneyoke.UpstreamID) {
 	p.replaced = append(p.replaced, id)
 }
 
-// TestReplacedUpstreamsAreFoundBeforeTheAttempt has others at the addresses of the first two upstreams while the list may be out
-// of date: neither gets the generation, and no attempt is spent on them. A call, and a generation whose list is true, ask nobody.
-func TestReplacedUpstreamsAreFoundBeforeTheAttempt(t *testing.T) {
+// TestReplacedUpstreamsAreDetectedBeforeAnAttempt has other upstreams at the addresses of the first two while the list
+// may be stale: neither gets the generation, and no attempt is spent on them. A call, and a generation with a current
+// list, check no identity.
+func TestReplacedUpstreamsAreDetectedBeforeAnAttempt(t *testing.T) {
 	cases := map[string]struct {
-		doubts, stream bool
-		replaced       int
-		head           string
+		mayBeStale, stream bool
+		replaced           int
+		head               string
 	}{
-		"generation, list in doubt": {true, true, 2, "c"},
-		"generation, list true":     {false, true, 0, "a"},
-		"call, list in doubt":       {true, false, 0, "a"},
+		"generation, stale list":   {true, true, 2, "c"},
+		"generation, current list": {false, true, 0, "a"},
+		"call, stale list":         {true, false, 0, "a"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &sender{
-					answers: map[vaneyoke.UpstreamID]forward.Exchange{},
-					has:     map[vaneyoke.UpstreamID]vaneyoke.UpstreamID{"a": "x", "b": "y", "c": "c"},
+				s := &fakeSender{
+					answers:    map[vaneyoke.UpstreamID]forward.Exchange{},
+					identities: map[vaneyoke.UpstreamID]vaneyoke.UpstreamID{"a": "x", "b": "y", "c": "c"},
 				}
 				for _, id := range []vaneyoke.UpstreamID{"a", "b", "c"} {
-					s.answers[id] = &stubborn{from: string(id), events: 2}
+					s.answers[id] = &lateExchange{from: string(id), events: 2}
 				}
-				placer := &doubtfulPlacer{doubts: tc.doubts}
+				placer := &stalePlacer{mayBeStale: tc.mayBeStale}
 				now := time.Now()
 				session := newForwarderWith(s, placer).Forward(t.Context(), &vaneyoke.Request{ID: "r", Repeatable: true, ReceivedAt: now}, relay.Forwarding{
-					Message: &forward.Message{}, Service: "lm", Stream: tc.stream, Health: "/who", Deadline: now.Add(time.Minute),
-					Goal: 10 * time.Second, Pause: 10 * time.Second, MaxAttempts: 3,
+					Message: &forward.Message{}, Service: "lm", Stream: tc.stream, HealthPath: "/who", Deadline: now.Add(time.Minute),
+					LatencyGoal: 10 * time.Second, EventIntervalGoal: 10 * time.Second, MaxAttempts: 3,
 				})
 				result, err := session.Wait(t.Context())
 				must.NoError(t, err)
@@ -292,22 +295,22 @@
 	}
 }
 
-// TestUpstreamThatForgotARunIsLeftWithinTheGoal has the first upstream take the request and know nothing of it: the answer has to begin
-// elsewhere with time left of the goal. One that still has prompts to read is waited for.
-func TestUpstreamThatForgotARunIsLeftWithinTheGoal(t *testing.T) {
+// TestRunUnknownToItsUpstreamMovesWithinTheGoal has the first upstream accept the request and then report no such run:
+// the answer must begin elsewhere within the goal. An upstream with the run in its queue is waited for.
+func TestRunUnknownToItsUpstreamMovesWithinTheGoal(t *testing.T) {
 	const goal = 4500 * time.Millisecond
-	for work, head := range map[vaneyoke.RunState]string{vaneyoke.RunStateNone: "b", vaneyoke.RunStateQueued: "a"} {
+	for state, head := range map[vaneyoke.RunState]string{vaneyoke.RunStateNone: "b", vaneyoke.RunStateQueued: "a"} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &sender{
+			s := &fakeSender{
 				answers: map[vaneyoke.UpstreamID]forward.Exchange{
-					"a": &stubborn{from: "a", events: 2}, "b": &stubborn{from: "b", delay: time.Second, events: 2},
+					"a": &lateExchange{from: "a", events: 2}, "b": &lateExchange{from: "b", delay: time.Second, events: 2},
 				},
-				waits: map[vaneyoke.UpstreamID]time.Duration{"a": 2 * goal}, work: work, reached: true,
+				waits: map[vaneyoke.UpstreamID]time.Duration{"a": 2 * goal}, runState: state, reachable: true,
 			}
 			r := newForwarder(s)
 			now := time.Now()
 			session := r.Forward(t.Context(), &vaneyoke.Request{ID: "r", Repeatable: true, ReceivedAt: now}, relay.Forwarding{
-				Message: &forward.Message{}, Service: "lm", Stream: true, Deadline: now.Add(time.Minute), Goal: goal, Pause: goal, MaxAttempts: 5,
+				Message: &forward.Message{}, Service: "lm", Stream: true, Deadline: now.Add(time.Minute), LatencyGoal: goal, EventIntervalGoal: goal, MaxAttempts: 5,
 			})
 			_, _, err := session.Read(t.Context(), 0)
 			must.NoError(t, err)
--- a/shell/relay/guard.go
+++ b/shell/relay/guard.go
@@ -9,124 +9,127 @@
 )
 
 const (
-	// beginning is how long after the head of its answer a request counts as one that an upstream has just begun to run: requests that
-	// end their upstreams did so within 120 ms, and a slow upstream works some times slower.
-	beginning = time.Second
-	// unseen is how long after it was sent a request of which nothing has shown counts so: queue and prompt are behind it by then.
-	unseen = 10 * time.Second
-	// verifyWait bounds how long the next attempt waits to learn whether the last one's upstream has ended.
-	verifyWait = 300 * time.Millisecond
+	// startWindow is how long after the head of its answer a request counts as just started. Requests that crash their
+	// upstreams did so within 120 ms; the margin is for upstreams that are several times slower.
+	startWindow = time.Second
+	// silentStartWindow is the corresponding time after sending for a request without any output: by then it has left
+	// the queue and its prefill is done.
+	silentStartWindow = 10 * time.Second
+	// crashCheckTimeout bounds how long the next attempt waits to learn whether the previous attempt's upstream has
+	// crashed.
+	crashCheckTimeout = 300 * time.Millisecond
 )
 
-// Guard knows which requests end the upstreams that run them.
-type Guard interface {
-	// Crashed notes that an upstream ended as it began to run a request, which was sent to it at a time.
-	Crashed(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time)
-	// Outlived notes that an upstream goes on which has lost a request as it began to run it.
-	Outlived(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time)
-	// Survived notes that an upstream has answered a request in whole.
-	Survived(content vaneyoke.ContentID)
-	// Barred reports whether what a request asks is sent to no upstream, and for how long it is not.
-	Barred(content vaneyoke.ContentID) (left time.Duration, barred bool)
+// CrashGuard tracks which requests crash the upstreams that run them.
+type CrashGuard interface {
+	// RecordCrash records that an upstream crashed when it started to run a request that was sent to it at sentAt.
+	RecordCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time)
+	// RecordLossWithoutCrash records that an upstream is still up after it lost a request that it had started to run.
+	RecordLossWithoutCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time)
+	// RecordCompletion records that an upstream has answered a request completely.
+	RecordCompletion(content vaneyoke.ContentID)
+	// Blocked reports whether a request content is sent to no upstream, and for how long.
+	Blocked(content vaneyoke.ContentID) (remaining time.Duration, blocked bool)
 }
 
-// survived notes that an upstream has answered the request in whole, so that it does not end those that run it.
-func (s *Session) survived() {
-	s.proven = true
+// recordCompletion records that an upstream has answered the request completely, so that the request does not crash
+// upstreams.
+func (s *Session) recordCompletion() {
+	s.provenSafe = true
 	if s.relay.guard != nil && s.req.Content != "" {
-		s.relay.guard.Survived(s.req.Content)
+		s.relay.guard.RecordCompletion(s.req.Content)
 	}
 }
 
-// heard notes that a piece of an attempt's answer has come.
-func (s *Session) heard(now time.Time, l *link) {
-	l.pieces++
-	l.heardAt = now
-	s.proven = s.proven || now.Sub(l.headAt) > beginning
+// recordReceived records that a chunk of an attempt's answer has arrived.
+func (s *Session) recordReceived(now time.Time, l *link) {
+	l.chunks++
+	l.lastReceivedAt = now
+	s.provenSafe = s.provenSafe || now.Sub(l.headAt) > startWindow
 }
 
-// barred returns the error of a request that is sent to no upstream, nil for any other.
-func (s *Session) barred() error {
+// blockedErr returns the error for a request that is sent to no upstream, nil for any other.
+func (s *Session) blockedErr() error {
 	if s.relay.guard == nil || s.req.Content == "" {
 		return nil
 	}
-	left, barred := s.relay.guard.Barred(s.req.Content)
-	if !barred {
+	remaining, blocked := s.relay.guard.Blocked(s.req.Content)
+	if !blocked {
 		return nil
 	}
-	return vaneyoke.ErrRetryAfter(vaneyoke.CodeQuarantined, left, "what the request asks ends the upstreams that run it")
+	return vaneyoke.ErrRetryAfter(vaneyoke.CodeQuarantined, remaining, "what the request asks ends the upstreams that run it")
 }
 
-// verify finds out whether the upstream of an attempt that was lost as it began has ended, which tells of the request; the next
-// attempt waits for it.
-func (s *Session) verify(l *link, cause generation.Cause) {
-	if s.relay.guard == nil || s.req.Content == "" || s.proven || !l.beganToRun(cause) {
+// checkCrash checks whether the upstream of an attempt that was lost at its start has crashed, which the request may
+// have caused. The next attempt waits for the result.
+func (s *Session) checkCrash(l *link, cause generation.Cause) {
+	if s.relay.guard == nil || s.req.Content == "" || s.provenSafe || !l.lostAtStart(cause) {
 		return
 	}
-	verified := make(chan struct{})
-	s.verified = verified
+	checked := make(chan struct{})
+	s.crashChecked = checked
 	go func() {
-		defer close(verified)
-		if cause == generation.CauseUnreachable || s.relay.hasEnded(l.upstream) {
-			s.relay.guard.Crashed(s.req.Content, l.upstream, l.sentAt)
+		defer close(checked)
+		if cause == generation.CauseUnreachable || s.relay.hasExited(l.upstream) {
+			s.relay.guard.RecordCrash(s.req.Content, l.upstream, l.sentAt)
 			return
 		}
-		s.relay.guard.Outlived(s.req.Content, l.upstream, l.sentAt)
+		s.relay.guard.RecordLossWithoutCrash(s.req.Content, l.upstream, l.sentAt)
 	}()
 }
 
-// hasEnded reports whether an upstream takes no connections, or has started again since an attempt was sent to it.
-func (r *Relay) hasEnded(upstream vaneyoke.Upstream) bool {
+// hasExited reports whether an upstream accepts no connections, or has restarted since an attempt was sent to it.
+func (r *Relay) hasExited(upstream vaneyoke.Upstream) bool {
 	if r.sender == nil {
-		ctx, cancel := context.WithTimeout(r.ctx, verifyWait)
+		ctx, cancel := context.WithTimeout(r.ctx, crashCheckTimeout)
 		defer cancel()
 		return !r.engines.Answers(ctx, upstream.URL)
 	}
 	if !r.sender.Probe(r.ctx, upstream) {
 		return true
 	}
-	if upstream.Incarnation == 0 || r.limited(upstream.ID) || r.pushedBack(upstream.ID) {
+	if upstream.Incarnation == 0 || r.isLimited(upstream.ID) || r.isPushedBack(upstream.ID) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, reportWait)
+	ctx, cancel := context.WithTimeout(r.ctx, reportTimeout)
 	defer cancel()
 	report, ok := r.sender.Report(ctx, upstream)
 	return ok && report.Incarnation > upstream.Incarnation
 }
 
-// awaitVerified waits until it is known what the last loss tells of the request.
-func (s *Session) awaitVerified(ctx context.Context) {
+// awaitCrashCheck waits until the check for a crash after the last loss is done.
+func (s *Session) awaitCrashCheck(ctx context.Context) {
 	s.mu.Lock()
-	verified := s.verified
+	checked := s.crashChecked
 	s.mu.Unlock()
-	if verified == nil {
+	if checked == nil {
 		return
 	}
-	timeout := time.NewTimer(verifyWait)
+	timeout := time.NewTimer(crashCheckTimeout)
 	defer timeout.Stop()
 	select {
-	case <-verified:
+	case <-checked:
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
 }
 
-// beganToRun reports whether an attempt may have been lost as its upstream began to run it. An opaque stream's answer begins with its
-// run; of all others nothing shows before their first piece.
-func (l *link) beganToRun(cause generation.Cause) bool {
+// lostAtStart reports whether an attempt may have been lost as its upstream started to run it. The head of an opaque
+// stream arrives when its run starts; no other answer shows anything before its first chunk.
+func (l *link) lostAtStart(cause generation.Cause) bool {
 	switch cause {
 	case generation.CauseClosed, generation.CauseMalformed, generation.CauseSilent, generation.CauseUnreachable:
 	default:
 		return false
 	}
 	if l.headAt.IsZero() {
-		return !l.headFirst && cause == generation.CauseClosed && time.Since(l.sentAt) <= unseen
+		return !l.headAtStart && cause == generation.CauseClosed && time.Since(l.sentAt) <= silentStartWindow
 	}
-	return l.heardAt.Sub(l.headAt) <= beginning
+	return l.lastReceivedAt.Sub(l.headAt) <= startWindow
 }
 
-// Bar ends the attempts under way of requests that end the upstreams which run them, but for those whose answer has begun.
-func (r *Relay) Bar(content vaneyoke.ContentID) {
+// Quarantine ends the running attempts of a content that crashes upstreams, except those whose answer has begun.
+func (r *Relay) Quarantine(content vaneyoke.ContentID) {
 	for _, s := range r.sessions() {
 		if s.req.Content == content {
 			s.quarantine()
@@ -135,11 +138,11 @@
 }
 
 func (s *Session) quarantine() {
-	left, barred := s.relay.guard.Barred(s.req.Content)
+	remaining, blocked := s.relay.guard.Blocked(s.req.Content)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.links[s.state.LatestAttempt()]; !barred || s.proven || (l != nil && !l.headAt.IsZero() && !l.fenced) {
+	if l := s.links[s.state.LatestAttempt()]; !blocked || s.provenSafe || (l != nil && !l.headAt.IsZero() && !l.fenced) {
 		return
 	}
-	s.handleLocked(time.Now(), generation.Quarantined{RetryAfter: left})
+	s.handleLocked(time.Now(), generation.Quarantined{RetryAfter: remaining})
 }
--- a/shell/relay/guard_test.go
+++ b/shell/relay/guard_test.go
@@ -18,129 +18,131 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// guarded places attempts in turn, and keeps what is told of requests that end upstreams; the third bars a content.
-type guarded struct {
-	inTurn
-	lock     sync.Mutex
-	crashed  []vaneyoke.UpstreamID
-	outlived int
-	survived int
-	bar      func(vaneyoke.ContentID)
-	barred   bool
+// crashRecorder places attempts in sequence and counts crashes, losses and completions; the third crash blocks the
+// content.
+type crashRecorder struct {
+	sequentialPlacer
+	lock               sync.Mutex
+	crashes            []vaneyoke.UpstreamID
+	lossesWithoutCrash int
+	completions        int
+	onBlock            func(vaneyoke.ContentID)
+	blocked            bool
 }
 
-func (g *guarded) Crashed(content vaneyoke.ContentID, u vaneyoke.Upstream, _ time.Time) {
+func (g *crashRecorder) RecordCrash(content vaneyoke.ContentID, u vaneyoke.Upstream, _ time.Time) {
 	g.lock.Lock()
-	g.crashed = append(g.crashed, u.ID)
-	third := len(g.crashed) == 3
-	g.barred = g.barred || third
+	g.crashes = append(g.crashes, u.ID)
+	third := len(g.crashes) == 3
+	g.blocked = g.blocked || third
 	g.lock.Unlock()
-	if third && g.bar != nil {
-		g.bar(content)
+	if third && g.onBlock != nil {
+		g.onBlock(content)
 	}
 }
 
-func (g *guarded) Outlived(vaneyoke.ContentID, vaneyoke.Upstream, time.Time) {
+func (g *crashRecorder) RecordLossWithoutCrash(vaneyoke.ContentID, vaneyoke.Upstream, time.Time) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.outlived++
+	g.lossesWithoutCrash++
 }
 
-func (g *guarded) Survived(vaneyoke.ContentID) {
+func (g *crashRecorder) RecordCompletion(vaneyoke.ContentID) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.survived++
+	g.completions++
 }
 
-func (g *guarded) Barred(vaneyoke.ContentID) (time.Duration, bool) {
+func (g *crashRecorder) Blocked(vaneyoke.ContentID) (time.Duration, bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	return time.Hour, g.barred
+	return time.Hour, g.blocked
 }
 
-// dying answers as an upstream does that may end meanwhile.
-type dying struct {
-	sender
-	dead    []vaneyoke.UpstreamID // that take no connections
-	born    vaneyoke.Incarnation  // of each now
-	failing map[vaneyoke.UpstreamID]error
-	sent    atomic.Int64
+// crashingSender sends to upstreams that may crash.
+type crashingSender struct {
+	fakeSender
+	unreachable []vaneyoke.UpstreamID // upstreams that accept no connections
+	incarnation vaneyoke.Incarnation  // of each upstream now
+	errs        map[vaneyoke.UpstreamID]error
+	sent        atomic.Int64
 }
 
-func (d *dying) Send(ctx context.Context, a *forward.Attempt) (forward.Exchange, error) {
+func (d *crashingSender) Send(ctx context.Context, a *forward.Attempt) (forward.Exchange, error) {
 	d.sent.Add(1)
-	if err := d.failing[a.Upstream.ID]; err != nil {
+	if err := d.errs[a.Upstream.ID]; err != nil {
 		time.Sleep(d.waits[a.Upstream.ID])
 		return nil, err
 	}
-	return d.sender.Send(ctx, a)
+	return d.fakeSender.Send(ctx, a)
 }
 
-func (d *dying) Probe(_ context.Context, u vaneyoke.Upstream) bool {
-	return !slices.Contains(d.dead, u.ID)
+func (d *crashingSender) Probe(_ context.Context, u vaneyoke.Upstream) bool {
+	return !slices.Contains(d.unreachable, u.ID)
 }
 
-func (d *dying) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
-	return vaneyoke.LoadReport{Incarnation: d.born}, true
+func (d *crashingSender) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
+	return vaneyoke.LoadReport{Incarnation: d.incarnation}, true
 }
 
-func ask(t *testing.T, r *relay.Relay, stream bool) *relay.Session {
+func forwardRequest(t *testing.T, r *relay.Relay, stream bool) *relay.Session {
 	now := time.Now()
 	return r.Forward(t.Context(), &vaneyoke.Request{ID: "r", Content: "c", Repeatable: true, ReceivedAt: now}, relay.Forwarding{
-		Message: &forward.Message{}, Service: "lm", Stream: stream, Deadline: now.Add(time.Minute), Goal: 10 * time.Second, Pause: 10 * time.Second, MaxAttempts: 9,
+		Message: &forward.Message{}, Service: "lm", Stream: stream, Deadline: now.Add(time.Minute), LatencyGoal: 10 * time.Second, EventIntervalGoal: 10 * time.Second, MaxAttempts: 9,
 	})
 }
 
-// TestWhichLossesAreCrashes loses an attempt in each way that says something of the request or not.
-func TestWhichLossesAreCrashes(t *testing.T) {
+// TestLossesAreClassifiedAsCrashes loses an attempt in each way that does or does not count as a crash caused by the
+// request.
+func TestLossesAreClassifiedAsCrashes(t *testing.T) {
 	closed := &engine.ClosedError{Err: io.EOF}
 	cases := map[string]struct {
-		stream  bool
-		answer  *stubborn // of the first upstream; nil for none
-		err     error     // in place of one
-		dead    bool      // whether it takes no connections then
-		born    vaneyoke.Incarnation
-		crashes int
-		goesOn  bool // whether it is found well
+		stream      bool
+		answer      *lateExchange // of the first upstream; nil for none
+		err         error         // returned instead of an answer
+		unreachable bool          // whether the upstream accepts no connections afterwards
+		incarnation vaneyoke.Incarnation
+		crashes     int
+		foundUp     bool // whether the upstream is found to be up
 	}{
-		"stream after its head":                 {stream: true, answer: &stubborn{breaks: true}, dead: true, crashes: 1},
-		"stream after its first events":         {stream: true, answer: &stubborn{breaks: true, events: 3, delay: 30 * time.Millisecond}, dead: true, crashes: 1},
-		"stream that had run for long":          {stream: true, answer: &stubborn{breaks: true, events: 30, delay: 50 * time.Millisecond}, dead: true},
-		"stream that only broke off":            {stream: true, answer: &stubborn{breaks: true}, goesOn: true},
-		"stream whose upstream is back":         {stream: true, answer: &stubborn{breaks: true}, born: 6, crashes: 1},
-		"stream of the same life":               {stream: true, answer: &stubborn{breaks: true}, born: 5, goesOn: true},
-		"stream that waited":                    {stream: true, err: closed, dead: true},
-		"call":                                  {err: closed, dead: true, crashes: 1},
-		"call that only broke off":              {err: closed, goesOn: true},
-		"call that was declined":                {err: &engine.DeclinedError{Status: 503}, dead: true},
-		"call that never came":                  {err: &engine.NotSentError{Reason: "refused"}, dead: true},
-		"call that another upstream got":        {err: &engine.DeclinedError{Status: 421, Gone: true}, dead: true},
-		"stream that another upstream declined": {stream: true, err: &engine.DeclinedError{Status: 503}, dead: true},
+		"stream after its head":            {stream: true, answer: &lateExchange{breaks: true}, unreachable: true, crashes: 1},
+		"stream after its first events":    {stream: true, answer: &lateExchange{breaks: true, events: 3, delay: 30 * time.Millisecond}, unreachable: true, crashes: 1},
+		"stream that had run for a while":  {stream: true, answer: &lateExchange{breaks: true, events: 30, delay: 50 * time.Millisecond}, unreachable: true},
+		"stream broken by a live upstream": {stream: true, answer: &lateExchange{breaks: true}, foundUp: true},
+		"stream whose upstream restarted":  {stream: true, answer: &lateExchange{breaks: true}, incarnation: 6, crashes: 1},
+		"stream of the same incarnation":   {stream: true, answer: &lateExchange{breaks: true}, incarnation: 5, foundUp: true},
+		"stream still in the queue":        {stream: true, err: closed, unreachable: true},
+		"call":                             {err: closed, unreachable: true, crashes: 1},
+		"call broken by a live upstream":   {err: closed, foundUp: true},
+		"call that was declined":           {err: &engine.DeclinedError{Status: 503}, unreachable: true},
+		"call that was not sent":           {err: &engine.NotSentError{Reason: "refused"}, unreachable: true},
+		"call to a replaced upstream":      {err: &engine.DeclinedError{Status: 421, Gone: true}, unreachable: true},
+		"stream that was declined":         {stream: true, err: &engine.DeclinedError{Status: 503}, unreachable: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &guarded{}
+				g := &crashRecorder{}
 				g.incarnation = 5
-				s := &dying{sender: sender{answers: map[vaneyoke.UpstreamID]forward.Exchange{"b": &stubborn{from: "b", events: 3}}, reached: true}, born: tc.born}
-				s.failing = map[vaneyoke.UpstreamID]error{"a": tc.err}
+				s := &crashingSender{fakeSender: fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{"b": &lateExchange{from: "b", events: 3}}, reachable: true}, incarnation: tc.incarnation}
+				s.errs = map[vaneyoke.UpstreamID]error{"a": tc.err}
 				if tc.answer != nil {
 					s.answers["a"] = tc.answer
 				}
 				if !tc.stream {
-					s.answers["b"] = wholeAnswer{}
+					s.answers["b"] = unaryExchange{}
 				}
-				if tc.dead {
-					s.dead = append(s.dead, "a")
+				if tc.unreachable {
+					s.unreachable = append(s.unreachable, "a")
 				}
 				r := newForwarderWith(s, g)
-				result, err := ask(t, r, tc.stream).Wait(t.Context())
+				result, err := forwardRequest(t, r, tc.stream).Wait(t.Context())
 				must.NoError(t, err)
 				must.EqOp(t, vaneyoke.CodeOK, result.Code)
 				synctest.Wait()
-				must.Len(t, tc.crashes, g.crashed)
-				must.EqOp(t, tc.goesOn, g.outlived == 1)
-				must.EqOp(t, 1, g.survived)
+				must.Len(t, tc.crashes, g.crashes)
+				must.EqOp(t, tc.foundUp, g.lossesWithoutCrash == 1)
+				must.EqOp(t, 1, g.completions)
 				r.Close()
 				synctest.Wait()
 			})
@@ -148,76 +150,77 @@
 	}
 }
 
-// wholeAnswer is the answer to a call.
-type wholeAnswer struct{ forward.Exchange }
+// unaryExchange is the answer to a call.
+type unaryExchange struct{ forward.Exchange }
 
-func (wholeAnswer) Head() forward.Head    { return forward.Head{Status: 200} }
-func (wholeAnswer) Events() bool          { return false }
-func (wholeAnswer) Body() ([]byte, error) { return []byte("whole"), nil }
-func (wholeAnswer) Close() error          { return nil }
+func (unaryExchange) Head() forward.Head    { return forward.Head{Status: 200} }
+func (unaryExchange) Events() bool          { return false }
+func (unaryExchange) Body() ([]byte, error) { return []byte("whole"), nil }
+func (unaryExchange) Close() error          { return nil }
 
-// TestThirdCrashIsTheLast has each upstream end as it begins to run a request: three do, the caller is told that it may have run, and a
-// repeat that it has not, at once and with when to come back. What waits elsewhere is taken back, and what has begun there is not.
-func TestThirdCrashIsTheLast(t *testing.T) {
+// TestRequestIsQuarantinedAfterThreeCrashes has each upstream crash when it starts to run a request. After three crashes
+// the caller is told that the request may have run; a repeated request is refused at once as not run, with a retry-after
+// time. A run that still waits on another upstream is ended, and one whose answer has begun is not.
+func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &guarded{}
-		s := &dying{sender: sender{answers: map[vaneyoke.UpstreamID]forward.Exchange{}, waits: map[vaneyoke.UpstreamID]time.Duration{}}}
+		g := &crashRecorder{}
+		s := &crashingSender{fakeSender: fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{}, waits: map[vaneyoke.UpstreamID]time.Duration{}}}
 		for id := 'c'; id <= 'z'; id++ {
-			s.answers[vaneyoke.UpstreamID(id)] = &stubborn{breaks: true, delay: 50 * time.Millisecond}
-			s.dead = append(s.dead, vaneyoke.UpstreamID(id))
+			s.answers[vaneyoke.UpstreamID(id)] = &lateExchange{breaks: true, delay: 50 * time.Millisecond}
+			s.unreachable = append(s.unreachable, vaneyoke.UpstreamID(id))
 		}
-		s.answers["a"], s.waits["a"] = &stubborn{from: "a", events: 2}, 5*time.Second   // waits
-		s.answers["b"] = &stubborn{from: "b", events: 2, delay: 500 * time.Millisecond} // has begun
+		s.answers["a"], s.waits["a"] = &lateExchange{from: "a", events: 2}, 5*time.Second   // waits
+		s.answers["b"] = &lateExchange{from: "b", events: 2, delay: 500 * time.Millisecond} // has begun
 		r := newForwarderWith(s, g)
-		g.bar = r.Bar
-		waiting := ask(t, r, true)
+		g.onBlock = r.Quarantine
+		waiting := forwardRequest(t, r, true)
 		synctest.Wait()
-		begun := ask(t, r, true)
+		begun := forwardRequest(t, r, true)
 		synctest.Wait()
-		result, err := ask(t, r, true).Wait(t.Context())
+		result, err := forwardRequest(t, r, true).Wait(t.Context())
 		must.NoError(t, err)
 		must.EqOp(t, vaneyoke.CodeUpstream, result.Code)
 		must.EqOp(t, 5, s.sent.Load())
 		result, err = waiting.Wait(t.Context())
 		must.NoError(t, err)
 		must.EqOp(t, vaneyoke.CodeUpstream, result.Code)
-		asked := time.Now()
-		result, err = ask(t, r, true).Wait(t.Context())
+		repeatedAt := time.Now()
+		result, err = forwardRequest(t, r, true).Wait(t.Context())
 		must.NoError(t, err)
 		must.EqOp(t, vaneyoke.CodeQuarantined, result.Code)
 		must.EqOp(t, time.Hour, result.RetryAfter)
-		must.EqOp(t, 0, time.Since(asked))
+		must.EqOp(t, 0, time.Since(repeatedAt))
 		must.EqOp(t, 5, s.sent.Load())
 		must.True(t, vaneyoke.CodeQuarantined.Info().NotRun)
 		result, err = begun.Wait(t.Context())
 		must.NoError(t, err)
 		must.EqOp(t, vaneyoke.CodeOK, result.Code)
 		r.Close()
-		time.Sleep(time.Minute) // until the answers of all upstreams have come
+		time.Sleep(time.Minute) // until the answers of all upstreams have arrived
 		synctest.Wait()
 	})
 }
 
-// TestSuspendedVM has the VM be suspended while a caller waits: what its upstreams are told of its time, and when the node gives up, count
-// the time that no clock of the node has counted.
-func TestSuspendedVM(t *testing.T) {
+// TestSuspensionShortensTheDeadline suspends the VM while a caller waits: the time that no clock of the node has counted
+// shortens the time that upstreams are given and the time until the node gives up.
+func TestSuspensionShortensTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &dying{sender: sender{reached: true, waits: map[vaneyoke.UpstreamID]time.Duration{"a": time.Minute}, answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &stubborn{}}, work: vaneyoke.RunStateQueued}}
-		r := newForwarderWith(s, &guarded{})
-		began := time.Now()
-		session := ask(t, r, true) // for a minute
+		s := &crashingSender{fakeSender: fakeSender{reachable: true, waits: map[vaneyoke.UpstreamID]time.Duration{"a": time.Minute}, answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{}}, runState: vaneyoke.RunStateQueued}}
+		r := newForwarderWith(s, &crashRecorder{})
+		startedAt := time.Now()
+		session := forwardRequest(t, r, true) // with a deadline of one minute
 		time.Sleep(time.Second)
 		r.Suspended(50 * time.Second)
 		must.True(t, session.Running())
 		result, err := session.Wait(t.Context())
 		must.NoError(t, err)
 		must.EqOp(t, vaneyoke.CodeTimedOut, result.Code)
-		must.EqOp(t, 10*time.Second, time.Since(began))
-		session = ask(t, r, true)
+		must.EqOp(t, 10*time.Second, time.Since(startedAt))
+		session = forwardRequest(t, r, true)
 		r.Suspended(2 * time.Minute)
 		must.False(t, session.Running())
 		r.Close()
-		time.Sleep(2 * time.Minute) // until the upstream's answer has come
+		time.Sleep(2 * time.Minute) // until the upstream's answer has arrived
 		synctest.Wait()
 	})
 }
--- a/shell/relay/latency.go
+++ b/shell/relay/latency.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	mostRoutes    = 64 // routes that are told apart; all further ones count as one
-	otherRoutes   = "other"
-	longestMs     = 120_000
-	latencyDigits = 2
+	maxRoutes         = 64 // all further routes are counted together
+	otherRoute        = "other"
+	maxMs             = 120_000
+	significantDigits = 2
 )
 
-// Latencies keeps histograms of how long answers took, for each route.
+// Latencies keeps latency histograms for each route.
 type Latencies struct {
 	mu     sync.Mutex
 	routes map[string]*routeLatency
 }
 
 type routeLatency struct {
-	first, gap, whole *hdrhistogram.Histogram // ms
+	firstChunk, maxGap, total *hdrhistogram.Histogram // ms
 }
 
-// NewLatencies returns histograms without a value.
+// NewLatencies returns empty histograms.
 func NewLatencies() *Latencies { return &Latencies{routes: map[string]*routeLatency{}} }
 
-// Add takes in an answer: the times to its first and last piece, and the longest pause between two.
-func (l *Latencies) Add(route string, first, gap, whole time.Duration) {
+// Add records an answer: the times to its first and last chunk, and the longest gap between two chunks.
+func (l *Latencies) Add(route string, firstChunk, maxGap, total time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.routes[route]
-	if r == nil && len(l.routes) >= mostRoutes {
-		route = otherRoutes
+	if r == nil && len(l.routes) >= maxRoutes {
+		route = otherRoute
 		r = l.routes[route]
 	}
 	if r == nil {
-		r = &routeLatency{first: newHistogram(), gap: newHistogram(), whole: newHistogram()}
+		r = &routeLatency{firstChunk: newHistogram(), maxGap: newHistogram(), total: newHistogram()}
 		l.routes[route] = r
 	}
-	record(r.first, first)
-	record(r.gap, gap)
-	record(r.whole, whole)
+	recordDuration(r.firstChunk, firstChunk)
+	recordDuration(r.maxGap, maxGap)
+	recordDuration(r.total, total)
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMs, latencyDigits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMs, significantDigits) }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Milliseconds(), 1), longestMs))
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxMs))
 }
 
-// Quantiles are values of a histogram in milliseconds.
+// Quantiles holds values of a histogram in milliseconds.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -60,20 +60,20 @@
 	Max   int64 `json:"max"`
 }
 
-// RouteQuantiles are the latencies of one route.
+// RouteQuantiles holds the latencies of one route.
 type RouteQuantiles struct {
-	First Quantiles `json:"first_ms"`
-	Gap   Quantiles `json:"gap_ms"`
-	Whole Quantiles `json:"whole_ms"`
+	FirstChunk Quantiles `json:"first_ms"`
+	MaxGap     Quantiles `json:"gap_ms"`
+	Total      Quantiles `json:"whole_ms"`
 }
 
-// Snapshot returns the latencies of each route so far.
+// Snapshot returns the current latencies of each route.
 func (l *Latencies) Snapshot() map[string]RouteQuantiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	snapshot := make(map[string]RouteQuantiles, len(l.routes))
 	for route, r := range l.routes {
-		snapshot[route] = RouteQuantiles{First: quantiles(r.first), Gap: quantiles(r.gap), Whole: quantiles(r.whole)}
+		snapshot[route] = RouteQuantiles{FirstChunk: quantiles(r.firstChunk), MaxGap: quantiles(r.maxGap), Total: quantiles(r.total)}
 	}
 	return snapshot
 }
--- a/shell/relay/latency_test.go
+++ b/shell/relay/latency_test.go
@@ -16,9 +16,9 @@
 		l.Add("r", time.Duration(ms+1)*time.Millisecond, 0, time.Hour)
 	}
 	got := l.Snapshot()["r"]
-	must.Eq(t, relay.Quantiles{Count: 100, P50: 50, P95: 95, P99: 99, Max: 100}, got.First)
-	must.EqOp(t, int64(1), got.Gap.Max)
-	must.Between(t, 119_000, got.Whole.Max, 121_000)
+	must.Eq(t, relay.Quantiles{Count: 100, P50: 50, P95: 95, P99: 99, Max: 100}, got.FirstChunk)
+	must.EqOp(t, int64(1), got.MaxGap.Max)
+	must.Between(t, 119_000, got.Total.Max, 121_000)
 }
 
 func TestLatenciesAreBounded(t *testing.T) {
@@ -28,5 +28,5 @@
 	}
 	snapshot := l.Snapshot()
 	must.MapLen(t, 65, snapshot)
-	must.EqOp(t, int64(1000-64), snapshot["other"].First.Count)
+	must.EqOp(t, int64(1000-64), snapshot["other"].FirstChunk.Count)
 }
--- a/shell/relay/limited_test.go
+++ b/shell/relay/limited_test.go
@@ -15,86 +15,86 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// rationed places attempts in turn on upstreams that name limits, and gives permits for some of them.
-type rationed struct {
-	inTurn
-	permits  map[vaneyoke.UpstreamID]int
-	free     map[vaneyoke.UpstreamID]bool // that name no limit
-	withheld []vaneyoke.UpstreamID
-	used     atomic.Int32
+// limitedPlacer places attempts in sequence on upstreams that declare limits, and grants permits for some of them.
+type limitedPlacer struct {
+	sequentialPlacer
+	permits   map[vaneyoke.UpstreamID]int
+	unlimited map[vaneyoke.UpstreamID]bool // that declare no limit
+	denied    []vaneyoke.UpstreamID
+	granted   atomic.Int32
 }
 
-func (r *rationed) Limited(id vaneyoke.UpstreamID) bool { return !r.free[id] }
+func (r *limitedPlacer) Limited(id vaneyoke.UpstreamID) bool { return !r.unlimited[id] }
 
-func (r *rationed) Permit(_ context.Context, id vaneyoke.UpstreamID) relay.Permit {
+func (r *limitedPlacer) AcquirePermit(_ context.Context, id vaneyoke.UpstreamID) relay.Permit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.permits[id] == 0 {
 		return relay.Permit{Next: 300 * time.Millisecond, Turn: 700 * time.Millisecond}
 	}
 	r.permits[id]--
-	r.used.Add(1)
+	r.granted.Add(1)
 	return relay.Permit{Granted: true}
 }
 
-func (r *rationed) Withheld(_ placement.Need, _ bool, id vaneyoke.UpstreamID, _ relay.Permit) {
-	r.withheld = append(r.withheld, id)
+func (r *limitedPlacer) LimitReached(_ placement.Need, _ bool, id vaneyoke.UpstreamID, _ relay.Permit) {
+	r.denied = append(r.denied, id)
 }
 
-func (r *rationed) Place(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
-	if need.Unlimited && len(r.free) == 0 {
+func (r *limitedPlacer) Place(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
+	if need.Unlimited && len(r.unlimited) == 0 {
 		return vaneyoke.Upstream{}, 0, vaneyoke.Err(vaneyoke.CodeNoUpstream, "none")
 	}
-	return r.inTurn.Place(need, retry)
+	return r.sequentialPlacer.Place(need, retry)
 }
 
-// counted counts what is sent to upstreams besides attempts.
-type counted struct {
-	sender
-	questions atomic.Int32
+// countingSender counts the queries that are sent to upstreams.
+type countingSender struct {
+	fakeSender
+	queries atomic.Int32
 }
 
-func (c *counted) Work(ctx context.Context, u vaneyoke.Upstream, id vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
-	c.questions.Add(1)
-	return c.sender.Work(ctx, u, id)
+func (c *countingSender) Work(ctx context.Context, u vaneyoke.Upstream, id vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
+	c.queries.Add(1)
+	return c.fakeSender.Work(ctx, u, id)
 }
 
-func (c *counted) Identity(ctx context.Context, u vaneyoke.Upstream, path string) (vaneyoke.UpstreamID, bool) {
-	c.questions.Add(1)
-	return c.sender.Identity(ctx, u, path)
+func (c *countingSender) Identity(ctx context.Context, u vaneyoke.Upstream, path string) (vaneyoke.UpstreamID, bool) {
+	c.queries.Add(1)
+	return c.fakeSender.Identity(ctx, u, path)
 }
 
-// TestAttemptsGoWhereThereIsAPermit asks one upstream after the other, and refuses the request at once where none has a permit.
-func TestAttemptsGoWhereThereIsAPermit(t *testing.T) {
+// TestAttemptsNeedAPermit tries one upstream after the other, and refuses the request at once if none grants a permit.
+func TestAttemptsNeedAPermit(t *testing.T) {
 	for name, tc := range map[string]struct {
-		permits map[vaneyoke.UpstreamID]int
-		from    string // the upstream that answers; "" for none
-		asked   int    // upstreams that have no permit
+		permits  map[vaneyoke.UpstreamID]int
+		upstream string // the upstream that answers; "" for none
+		denied   int    // upstreams that deny a permit
 	}{
-		"the first":       {map[vaneyoke.UpstreamID]int{"a": 1}, "a", 0},
-		"the third":       {map[vaneyoke.UpstreamID]int{"c": 1}, "c", 2},
-		"the seventh":     {map[vaneyoke.UpstreamID]int{"g": 1}, "g", 6},
-		"none has any":    {nil, "", 9},
-		"one of too many": {map[vaneyoke.UpstreamID]int{"z": 1}, "", 9},
+		"the first":               {map[vaneyoke.UpstreamID]int{"a": 1}, "a", 0},
+		"the third":               {map[vaneyoke.UpstreamID]int{"c": 1}, "c", 2},
+		"the seventh":             {map[vaneyoke.UpstreamID]int{"g": 1}, "g", 6},
+		"none of them":            {nil, "", 9},
+		"one beyond the last try": {map[vaneyoke.UpstreamID]int{"z": 1}, "", 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &sender{answers: map[vaneyoke.UpstreamID]forward.Exchange{vaneyoke.UpstreamID(tc.from): &stubborn{from: tc.from, events: 1}}, reached: true}
-				placer := &rationed{permits: tc.permits}
+				s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{vaneyoke.UpstreamID(tc.upstream): &lateExchange{from: tc.upstream, events: 1}}, reachable: true}
+				placer := &limitedPlacer{permits: tc.permits}
 				r := newForwarderWith(s, placer)
-				began := time.Now()
-				session := askPrompt(t.Context(), r)
+				startedAt := time.Now()
+				session := forwardPrompt(t.Context(), r)
 				result, err := session.Wait(t.Context())
 				must.NoError(t, err)
-				must.Zero(t, time.Since(began))
-				must.Len(t, tc.asked, placer.withheld)
-				if tc.from != "" {
+				must.Zero(t, time.Since(startedAt))
+				must.Len(t, tc.denied, placer.denied)
+				if tc.upstream != "" {
 					must.EqOp(t, vaneyoke.CodeOK, result.Code)
-					must.EqOp(t, 1, placer.used.Load())
+					must.EqOp(t, 1, placer.granted.Load())
 				} else {
 					must.EqOp(t, vaneyoke.CodeWithheld, result.Code)
 					must.EqOp(t, 700*time.Millisecond, result.RetryAfter)
-					must.Zero(t, placer.used.Load())
+					must.Zero(t, placer.granted.Load())
 				}
 				r.Close()
 				synctest.Wait()
@@ -103,13 +103,14 @@
 	}
 }
 
-// TestCallersAreToldATimeThatFits has little of a caller's time be left when its turn would be: it is told to come back while it can still be served.
-func TestCallersAreToldATimeThatFits(t *testing.T) {
+// TestRetryAfterIsCappedByTheDeadline has a limit's retry-after time exceed most of a caller's remaining time: the
+// caller is told to retry while it can still be served.
+func TestRetryAfterIsCappedByTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newForwarderWith(&sender{}, &rationed{})
+		r := newForwarderWith(&fakeSender{}, &limitedPlacer{})
 		now := time.Now()
 		session := r.Forward(t.Context(), &vaneyoke.Request{ID: "r", ReceivedAt: now}, relay.Forwarding{
-			Message: &forward.Message{}, Service: "shop", Deadline: now.Add(1200 * time.Millisecond), Goal: 100 * time.Millisecond, MaxAttempts: 1,
+			Message: &forward.Message{}, Service: "shop", Deadline: now.Add(1200 * time.Millisecond), LatencyGoal: 100 * time.Millisecond, MaxAttempts: 1,
 		})
 		result, err := session.Wait(t.Context())
 		must.NoError(t, err)
@@ -120,22 +121,22 @@
 	})
 }
 
-// TestQuestionsNeedPermits has streams of an upstream that names a limit fall silent: it is asked only as often as there are permits, and found out
-// by its connections otherwise.
-func TestQuestionsNeedPermits(t *testing.T) {
-	for permits, questions := range map[int]int32{1: 0, 2: 1, 100: 5} { // one is for the attempt
+// TestQueriesNeedPermits has the streams of an upstream with a limit fall silent: it is queried only as often as there
+// are permits, and probed by connections otherwise.
+func TestQueriesNeedPermits(t *testing.T) {
+	for permits, queries := range map[int]int32{1: 0, 2: 1, 100: 5} { // one permit is for the attempt
 		synctest.Test(t, func(t *testing.T) {
-			s := &counted{sender: sender{
-				answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &stubborn{from: "a", events: 1}}, reached: true, work: vaneyoke.RunStateQueued,
+			s := &countingSender{fakeSender: fakeSender{
+				answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 1}}, reachable: true, runState: vaneyoke.RunStateQueued,
 				waits: map[vaneyoke.UpstreamID]time.Duration{"a": 7 * time.Second},
 			}}
-			placer := &rationed{permits: map[vaneyoke.UpstreamID]int{"a": permits}}
+			placer := &limitedPlacer{permits: map[vaneyoke.UpstreamID]int{"a": permits}}
 			r := newForwarderWith(s, placer)
-			session := askPrompt(t.Context(), r)
+			session := forwardPrompt(t.Context(), r)
 			result, err := session.Wait(t.Context())
 			must.NoError(t, err)
 			must.EqOp(t, vaneyoke.CodeOK, result.Code)
-			must.EqOp(t, questions, s.questions.Load())
+			must.EqOp(t, queries, s.queries.Load())
 			r.Close()
 			synctest.Wait()
 		})
--- a/shell/relay/loss.go
+++ b/shell/relay/loss.go
@@ -14,8 +14,8 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// failed tells the state machine why an attempt's link broke.
-func (s *Session) failed(attempt vaneyoke.Attempt, err error) {
+// handleError tells the state machine why an attempt's link broke.
+func (s *Session) handleError(attempt vaneyoke.Attempt, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.links[attempt]
@@ -23,41 +23,41 @@
 		return
 	}
 	if refused, ok := errors.AsType[*engine.RefusedError](err); ok {
-		s.settle(attempt, placement.OutcomeDone)
-		s.handleLocked(time.Now(), generation.Rejected{Attempt: attempt, Detail: refusal(refused)})
-		s.close(attempt)
+		s.reportOutcome(attempt, placement.OutcomeDone)
+		s.handleLocked(time.Now(), generation.Rejected{Attempt: attempt, Detail: rejectionDetail(refused)})
+		s.closeLink(attempt)
 		return
 	}
-	s.lostLocked(attempt, causeOf(err), err)
+	s.handleLossLocked(attempt, causeOf(err), err)
 }
 
-// lostLocked tells the state machine that an attempt was lost.
-func (s *Session) lostLocked(attempt vaneyoke.Attempt, cause generation.Cause, err error) {
+// handleLossLocked tells the state machine that an attempt was lost.
+func (s *Session) handleLossLocked(attempt vaneyoke.Attempt, cause generation.Cause, err error) {
 	l := s.links[attempt]
-	s.noteLoss(attempt, l, cause, err)
-	s.relay.notePushback(l.upstream, err)
-	s.verify(l, cause)
-	if l.retry && cause == generation.CauseNotSent {
-		s.relay.placer.Unsent(s.need)
+	s.recordLoss(attempt, l, cause, err)
+	s.relay.recordPushback(l.upstream, err)
+	s.checkCrash(l, cause)
+	if l.isRetry && cause == generation.CauseNotSent {
+		s.relay.placer.RefundRetry(s.need)
 	}
 	if cause == generation.CauseClosed || cause == generation.CauseMalformed {
-		s.answered(l, rollout.Answer{Kind: rollout.AnswerLost})
+		s.recordAnswer(l, rollout.Answer{Kind: rollout.AnswerLost})
 	}
-	s.settle(attempt, l.lossOutcome(cause))
+	s.reportOutcome(attempt, l.lossOutcome(cause))
 	s.handleLocked(time.Now(), generation.Lost{Attempt: attempt, Cause: cause})
-	s.close(attempt)
+	s.closeLink(attempt)
 }
 
-// noteLoss logs and counts that an attempt was lost; err is nil where it was given up.
-func (s *Session) noteLoss(attempt vaneyoke.Attempt, l *link, cause generation.Cause, err error) {
+// recordLoss logs and counts a lost attempt; err is nil if the attempt was abandoned.
+func (s *Session) recordLoss(attempt vaneyoke.Attempt, l *link, cause generation.Cause, err error) {
 	s.logAttempt(attempt, l.upstream.ID).WithFields(logrus.Fields{
-		"cause": cause, "error": err, "content": s.req.Content, "begun": l.begun, "pieces": l.pieces,
+		"cause": cause, "error": err, "content": s.req.Content, "begun": l.gotFirstToken, "pieces": l.chunks,
 		"head_ms": l.headMs(), "age_ms": time.Since(l.sentAt).Milliseconds(),
 	}).Warn("attempt_lost")
 	s.relay.metrics.Losses.Add(cause.String(), 1)
 }
 
-// headMs returns the time to the head of the answer in milliseconds, -1 where it has not come.
+// headMs returns the time to the head of the answer in milliseconds, -1 if it has not arrived.
 func (l *link) headMs() int64 {
 	if l.headAt.IsZero() {
 		return -1
@@ -65,7 +65,8 @@
 	return l.headAt.Sub(l.sentAt).Milliseconds()
 }
 
-// lossOutcome returns what a loss says of the upstream; a stream that could not be resumed was counted when it broke.
+// lossOutcome returns the outcome of a loss for the placer; the loss of a stream that could not be resumed was counted
+// when the stream broke.
 func (l *link) lossOutcome(cause generation.Cause) placement.Outcome {
 	if l.resumed {
 		return placement.OutcomeDropped
@@ -76,7 +77,7 @@
 	return outcomeOf(cause)
 }
 
-// outcomeOf returns what the cause of a loss says of the upstream; one that declines is well.
+// outcomeOf returns the outcome for the placer by the cause of a loss; an upstream that declines is healthy.
 func outcomeOf(cause generation.Cause) placement.Outcome {
 	switch cause {
 	case generation.CauseDeclined:
@@ -90,9 +91,9 @@
 	}
 }
 
-func refusal(err *engine.RefusedError) string {
-	const most = 300
-	body := err.Body[:min(len(err.Body), most)]
+func rejectionDetail(err *engine.RefusedError) string {
+	const maxBody = 300
+	body := err.Body[:min(len(err.Body), maxBody)]
 	return "status " + strconv.Itoa(err.Status) + ": " + string(body)
 }
 
--- a/shell/relay/meter.go
+++ b/shell/relay/meter.go
@@ -7,39 +7,39 @@
 	"github.com/vaneyoke/vaneyoke/decide/placement"
 )
 
-// count counts the request once an upstream has begun it.
-func (s *Session) count() {
+// countRequest counts the request once an upstream has started it.
+func (s *Session) countRequest() {
 	if s.relay.meter == nil || s.counted {
 		return
 	}
 	s.counted = true
-	s.relay.meter.Began(s.req.Workspace)
+	s.relay.meter.CountRequest(s.req.Workspace)
 }
 
-// countUnanswered counts a request that an upstream may have run without an answer that came.
+// countUnanswered counts a request that an upstream may have run, but whose answer did not arrive.
 func (s *Session) countUnanswered() {
 	if s.state.MayHaveRun() {
-		s.count()
+		s.countRequest()
 	}
 }
 
-// tookReading notes how long an attempt took to its first piece.
-func (s *Session) tookReading(now time.Time, l *link) {
-	s.count()
+// recordPrefill records the time from sending an attempt to its first chunk.
+func (s *Session) recordPrefill(now time.Time, l *link) {
+	s.countRequest()
 	if s.relay.meter != nil && !l.sentAt.IsZero() {
-		s.relay.meter.Used(s.need.Service, capacity.Load{FirstChunks: 1, Prefill: now.Sub(l.sentAt), PromptTokens: s.need.PromptBytes})
+		s.relay.meter.AddLoad(s.need.Service, capacity.Load{FirstChunks: 1, Prefill: now.Sub(l.sentAt), PromptTokens: s.need.PromptBytes})
 	}
 }
 
-// tookRunning notes what an attempt that has come out took beside: how long it ran after its first piece and what it held of the upstream's memory, or the prompt that was read
-// in vain.
-func (s *Session) tookRunning(now time.Time, l *link, outcome placement.Outcome) {
+// recordDecode records the remaining load of an attempt that has ended: the time after its first chunk and the KV memory
+// that it held, or the prompt tokens that were lost before the first chunk.
+func (s *Session) recordDecode(now time.Time, l *link, outcome placement.Outcome) {
 	switch {
 	case s.relay.meter == nil:
-	case !l.begunAt.IsZero():
-		ran := now.Sub(l.begunAt)
-		s.relay.meter.Used(s.need.Service, capacity.Load{Decode: ran, KVTokenSeconds: float64(s.need.PromptBytes+l.pieces) * ran.Seconds()})
+	case !l.firstTokenAt.IsZero():
+		decodeTime := now.Sub(l.firstTokenAt)
+		s.relay.meter.AddLoad(s.need.Service, capacity.Load{Decode: decodeTime, KVTokenSeconds: float64(s.need.PromptBytes+l.chunks) * decodeTime.Seconds()})
 	case outcome == placement.OutcomeLost && !l.resumed:
-		s.relay.meter.Used(s.need.Service, capacity.Load{LostTokens: s.need.PromptBytes})
+		s.relay.meter.AddLoad(s.need.Service, capacity.Load{LostTokens: s.need.PromptBytes})
 	}
 }
--- a/shell/relay/metrics.go
+++ b/shell/relay/metrics.go
@@ -8,17 +8,17 @@
 type Metrics struct {
 	Sessions  *expvar.Int // started
 	Open      *expvar.Int // running now
-	Tokens    *expvar.Int // let through
+	Tokens    *expvar.Int // accepted
 	Attempts  *expvar.Int // runs started on upstreams
 	Losses    *expvar.Map // attempts lost, by cause
-	Discarded *expvar.Int // tokens received and not let through
-	Reprefill *expvar.Int // tokens given again to engines as prefix
+	Discarded *expvar.Int // tokens received but not accepted
+	Reprefill *expvar.Int // tokens sent to engines again as a prefix
 	Results   *expvar.Map // sessions ended, by result code
 	Routes    *expvar.Map // opaque requests ended, by route and result code
-	Latencies *Latencies  // of opaque requests that were answered, by route
+	Latencies *Latencies  // of answered opaque requests, by route
 }
 
-// NewMetrics returns counters under the given names' prefix in vars.
+// NewMetrics returns new metrics and registers them in vars.
 func NewMetrics(vars *expvar.Map) *Metrics {
 	m := &Metrics{
 		Sessions:  new(expvar.Int),
--- a/shell/relay/mode.go
+++ b/shell/relay/mode.go
@@ -6,22 +6,22 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// mode is how a session's answer comes from its upstreams.
+// mode is how a session's answer arrives from its upstreams.
 type mode interface{ mode() }
 
-// streamed answers come token by token, and go on from a prefix after a loss.
-type streamed struct{ req *vaneyoke.Request }
+// streaming answers arrive token by token; after a loss they resume from a prefix.
+type streaming struct{ req *vaneyoke.Request }
 
-// whole answers come in one body, and start anew after a loss.
-type whole struct {
+// unary answers arrive in one body; after a loss they are restarted.
+type unary struct {
 	path string
 	body []byte
 }
 
-func (*streamed) mode() {}
-func (*whole) mode()    {}
+func (*streaming) mode() {}
+func (*unary) mode()     {}
 
-// encode returns the JSON form of fields, which were read from JSON and so always encode.
+// encode returns the JSON form of fields, which came from JSON and therefore always encode.
 func encode(fields vaneyoke.Fields) []byte {
 	body, err := json.Marshal(fields)
 	if err != nil {
--- a/shell/relay/place.go
+++ b/shell/relay/place.go
@@ -15,25 +15,25 @@
 	"github.com/vaneyoke/vaneyoke/internal/pause"
 )
 
-// place waits for the pause that was asked for, and chooses an upstream.
+// place waits for the requested delay and chooses an upstream.
 func (s *Session) place(e generation.Place) {
 	if e.Delay > 0 && !pause.For(s.ctx, e.Delay) {
 		return
 	}
-	s.awaitVerified(s.ctx)
+	s.awaitCrashCheck(s.ctx)
 	need := s.need
 	need.Avoid = e.Avoid
-	need.Prefer = s.replicaNamed(e.Prefer)
+	need.Prefer = s.replicaByID(e.Prefer)
 	if e.Attempt == 1 {
-		need.Canary = s.relay.trier != nil && s.relay.trier.Draws(need.Service)
-		need.Prefer = s.holder(need)
+		need.Canary = s.relay.rollouts != nil && s.relay.rollouts.DrawCanary(need.Service)
+		need.Prefer = s.findPromptHolder(need)
 	}
-	if !s.awaitRoom(need, e.Attempt == 1) {
+	if !s.awaitCapacity(need, e.Attempt == 1) {
 		return
 	}
-	upstream, expect, err := s.choose(need, e.Retry)
-	if _, ok := s.mode.(*whole); ok {
-		expect = 0 // what is known of first tokens says nothing of whole answers
+	upstream, expectedTTFT, err := s.chooseUpstream(need, e.Retry)
+	if _, ok := s.mode.(*unary); ok {
+		expectedTTFT = 0 // times to the first token do not apply to unary answers
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,143 +42,145 @@
 		s.handleLocked(now, generation.NotPlaced{
 			Attempt:    e.Attempt,
 			Code:       vaneyoke.CodeOf(err),
-			RetryAfter: s.fit(vaneyoke.CodeOf(err), vaneyoke.RetryAfterOf(err)),
+			RetryAfter: s.capRetryAfter(vaneyoke.CodeOf(err), vaneyoke.RetryAfterOf(err)),
 		})
 		return
 	}
-	l := &link{upstream: upstream, cancel: func() {}, retry: e.Retry}
+	l := &link{upstream: upstream, cancel: func() {}, isRetry: e.Retry}
 	s.links[e.Attempt] = l
 	if need.Replicate {
-		l.replica, _ = s.relay.placer.Replica(need, upstream)
+		l.replica, _ = s.relay.placer.PickReplica(need, upstream)
 	}
 	s.handleLocked(now, generation.Placed{
-		Attempt: e.Attempt, Upstream: upstream.ID, ExpectedTTFT: expect, Replica: l.replica.ID,
+		Attempt: e.Attempt, Upstream: upstream.ID, ExpectedTTFT: expectedTTFT, Replica: l.replica.ID,
 		HoldsReplica: e.Prefer != "" && upstream.URL == need.Prefer.URL,
 	})
-	s.settleUnused(e.Attempt)
+	s.releaseUnused(e.Attempt)
 }
 
 const (
-	reportWait = 60 * time.Millisecond  // longest wait for the reports of upstreams
-	holderWait = 100 * time.Millisecond // longest wait for what upstreams keep
+	reportTimeout = 60 * time.Millisecond  // longest wait for the load reports of upstreams
+	holderTimeout = 100 * time.Millisecond // longest wait for upstreams to tell whether they hold a prompt
 )
 
-// holder returns the upstream that keeps the prompt of a caller who comes back for the rest of its answer, because its run
-// broke off there; the zero value where none is found.
-func (s *Session) holder(need placement.Need) vaneyoke.Upstream {
+// findPromptHolder returns the upstream that holds the prompt of a caller who asks for the rest of its answer after the
+// stream broke; the zero value if none is found.
+func (s *Session) findPromptHolder(need placement.Need) vaneyoke.Upstream {
 	m, ok := s.mode.(*forwarded)
-	if !ok || m.After == "" || need.Affinity == "" {
+	if !ok || m.ResumeAfter == "" || need.Affinity == "" {
 		return vaneyoke.Upstream{}
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, holderWait)
+	ctx, cancel := context.WithTimeout(s.ctx, holderTimeout)
 	defer cancel()
-	asking := s.relay.placer.Holders(need)
-	holds := make([]bool, len(asking))
-	var asked sync.WaitGroup
-	for i, upstream := range asking {
-		asked.Go(func() { holds[i] = s.relay.sender.Holds(ctx, upstream, m.Parts) })
+	candidates := s.relay.placer.PromptHolders(need)
+	holds := make([]bool, len(candidates))
+	var queries sync.WaitGroup
+	for i, upstream := range candidates {
+		queries.Go(func() { holds[i] = s.relay.sender.Holds(ctx, upstream, m.PromptParts) })
 	}
-	asked.Wait()
+	queries.Wait()
 	i := slices.Index(holds, true)
 	if i < 0 {
 		return vaneyoke.Upstream{}
 	}
-	s.logAttempt(1, asking[i].ID).Info("prompt_found")
-	return asking[i]
+	s.logAttempt(1, candidates[i].ID).Info("prompt_found")
+	return candidates[i]
 }
 
-// choose returns an upstream.
-func (s *Session) choose(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
-	if err := s.barred(); err != nil {
+// chooseUpstream returns an upstream, unless the request content is blocked.
+func (s *Session) chooseUpstream(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
+	if err := s.blockedErr(); err != nil {
 		return vaneyoke.Upstream{}, 0, err
 	}
-	return s.chooseWithin(need, retry)
+	return s.choosePermitted(need, retry)
 }
 
-// chooseThere returns an upstream that has the address by which it is known, as far as that can be told.
-func (s *Session) chooseThere(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
+// chooseCurrent returns an upstream that still has its known address, as far as this can be checked.
+func (s *Session) chooseCurrent(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error) {
 	for tries := 0; ; tries++ {
-		upstream, expect, err := s.relay.placer.Place(need, retry)
-		if err != nil || tries == mostReplaced || !s.isReplaced(upstream) {
-			return upstream, expect, err
+		upstream, expectedTTFT, err := s.relay.placer.Place(need, retry)
+		if err != nil || tries == maxReplaced || !s.isReplaced(upstream) {
+			return upstream, expectedTTFT, err
 		}
 		s.relay.log.WithFields(logrus.Fields{"request": s.req.ID, "upstream": upstream.ID}).Info("upstream_replaced")
-		s.relay.doubter.Replaced(need, retry, upstream.ID)
+		s.relay.staleness.Replaced(need, retry, upstream.ID)
 	}
 }
 
-// mostReplaced is how many upstreams in a row may turn out to have been replaced before one gets the attempt unasked.
-const mostReplaced = 8
+// maxReplaced is how many upstreams in a row may turn out to be replaced before the next one gets the attempt unchecked.
+const maxReplaced = 8
 
-// isReplaced reports whether another upstream has the address of one that is to get a generation. It is asked only while the
-// list of upstreams may be out of date: what an upstream declines because it is another one counts as a retry.
+// isReplaced reports whether another upstream now has the address of one that was chosen for a generation. It is checked
+// only while the list of upstreams may be stale: an attempt that an upstream declines because it is a different one
+// would count as a retry.
 func (s *Session) isReplaced(upstream vaneyoke.Upstream) bool {
 	m, ok := s.mode.(*forwarded)
-	if !ok || !m.Stream || m.Health == "" || s.relay.doubter == nil || !s.relay.doubter.Doubts() || s.relay.limited(upstream.ID) {
+	if !ok || !m.Stream || m.HealthPath == "" || s.relay.staleness == nil || !s.relay.staleness.MayBeStale() || s.relay.isLimited(upstream.ID) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, reportWait)
+	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 	defer cancel()
-	id, known := s.relay.sender.Identity(ctx, upstream, m.Health)
+	id, known := s.relay.sender.Identity(ctx, upstream, m.HealthPath)
 	return known && id != upstream.ID
 }
 
-// awaitRoom has the placer know what the homes of a prompt work on, because other nodes' prompts and answers meet there, and others where
-// none of them is free, as far as they say so in time. While none has room for a first attempt, which would displace runs or replicas
-// of others, it holds the prompt; it reports whether the session goes on.
-func (s *Session) awaitRoom(need placement.Need, first bool) bool {
+// awaitCapacity updates the placer with load reports of the prompt's affinity upstreams, which serve prompts and answers
+// of other nodes too, and of spillover upstreams if none of those is free, as far as the reports arrive in time. While
+// no upstream has room for a first attempt, which would evict runs or replicas of others, it delays the prompt. It
+// reports whether the session continues.
+func (s *Session) awaitCapacity(need placement.Need, isFirst bool) bool {
 	m, ok := s.mode.(*forwarded)
-	if !ok || need.Affinity == "" || need.Prefer.URL != "" || s.barred() != nil {
+	if !ok || need.Affinity == "" || need.Prefer.URL != "" || s.blockedErr() != nil {
 		return true
 	}
-	began := time.Now()
-	hold := placement.CapacityWait{Timeout: s.left(m, began), LatencyGoal: cmp.Or(m.Goal, unnamedGoal)}
-	for looks := 1; ; looks++ {
-		s.askReports(s.relay.placer.Homes(need))
-		s.askReports(s.relay.placer.Spares(need))
-		hasRoom := !first || s.relay.placer.HasRoom(need)
-		wait, again := hold.NextCheck(s.left(m, time.Now()))
-		if hasRoom || !again {
-			if looks > 1 {
-				s.logAwaited(time.Since(began), looks, hasRoom)
+	startedAt := time.Now()
+	capacityWait := placement.CapacityWait{Timeout: s.timeLeft(m, startedAt), LatencyGoal: cmp.Or(m.LatencyGoal, defaultLatencyGoal)}
+	for checks := 1; ; checks++ {
+		s.queryReports(s.relay.placer.AffinityUpstreams(need))
+		s.queryReports(s.relay.placer.SpilloverUpstreams(need))
+		hasRoom := !isFirst || s.relay.placer.HasRoom(need)
+		delay, waitMore := capacityWait.NextCheck(s.timeLeft(m, time.Now()))
+		if hasRoom || !waitMore {
+			if checks > 1 {
+				s.logCapacityWait(time.Since(startedAt), checks, hasRoom)
 			}
 			return true
 		}
-		if !pause.For(s.ctx, wait) {
+		if !pause.For(s.ctx, delay) {
 			return false
 		}
 	}
 }
 
-// left returns what is left of the caller's time; suspensions of the VM shorten it.
-func (s *Session) left(m *forwarded, now time.Time) time.Duration {
+// timeLeft returns the remaining time of the caller; suspensions of the VM shorten it.
+func (s *Session) timeLeft(m *forwarded, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return m.Deadline.Sub(now)
 }
 
-func (s *Session) logAwaited(took time.Duration, looks int, hasRoom bool) {
+func (s *Session) logCapacityWait(waited time.Duration, checks int, hasRoom bool) {
 	s.relay.log.WithFields(logrus.Fields{
-		"request": s.req.ID, "ms": took.Milliseconds(), "looks": looks, "room": hasRoom,
+		"request": s.req.ID, "ms": waited.Milliseconds(), "looks": checks, "room": hasRoom,
 	}).Info("room_awaited")
 }
 
-func (s *Session) askReports(upstreams []vaneyoke.Upstream) {
-	ctx, cancel := context.WithTimeout(s.ctx, reportWait)
+func (s *Session) queryReports(upstreams []vaneyoke.Upstream) {
+	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, upstream := range upstreams {
-		asked.Go(func() {
+		queries.Go(func() {
 			if report, ok := s.relay.sender.Report(ctx, upstream); ok {
 				s.relay.placer.Reported(upstream.ID, report)
 			}
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 }
 
-// replicaNamed returns the upstream that was to keep a replica of an earlier attempt, the zero value for none.
-func (s *Session) replicaNamed(id vaneyoke.UpstreamID) vaneyoke.Upstream {
+// replicaByID returns the upstream chosen to keep a replica of an earlier attempt, the zero value if there is none.
+func (s *Session) replicaByID(id vaneyoke.UpstreamID) vaneyoke.Upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
@@ -189,9 +191,9 @@
 	return vaneyoke.Upstream{}
 }
 
-// settleUnused gives back an upstream that was placed for an attempt that had been fenced meanwhile.
-func (s *Session) settleUnused(attempt vaneyoke.Attempt) {
+// releaseUnused releases an upstream that was chosen for an attempt that has been fenced in the meantime.
+func (s *Session) releaseUnused(attempt vaneyoke.Attempt) {
 	if l := s.links[attempt]; l != nil && !l.started {
-		s.settle(attempt, placement.OutcomeDropped)
+		s.reportOutcome(attempt, placement.OutcomeDropped)
 	}
 }
--- a/shell/relay/pushback.go
+++ b/shell/relay/pushback.go
@@ -9,27 +9,29 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// Holder is a Placer that knows which upstreams have asked for nothing for a while.
-type Holder interface {
-	// Signalled takes in what an upstream said of itself; ok is false where nothing follows.
+// PushbackTracker is a Placer that knows which upstreams have asked for no requests for a while.
+type PushbackTracker interface {
+	// Signalled applies a signal of an upstream; ok is false if it has no effect.
 	Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool)
-	// IsPushedBack reports whether an upstream wants nothing, questions included.
+	// IsPushedBack reports whether an upstream has asked for no requests, queries included.
 	IsPushedBack(id vaneyoke.UpstreamID) bool
 }
 
-// pushedBack reports whether an upstream wants nothing. What it has begun goes on; the keep-alives of its connections tell whether it is there.
-func (r *Relay) pushedBack(id vaneyoke.UpstreamID) bool {
-	return r.holder != nil && r.holder.IsPushedBack(id)
+// isPushedBack reports whether an upstream has asked for no requests. Its running requests continue; the keep-alives of
+// their connections detect whether it is up.
+func (r *Relay) isPushedBack(id vaneyoke.UpstreamID) bool {
+	return r.pushbacks != nil && r.pushbacks.IsPushedBack(id)
 }
 
-// isThere reports whether an upstream takes connections; one that wants nothing is not asked, and taken to be there.
-func (r *Relay) isThere(ctx context.Context, upstream vaneyoke.Upstream) bool {
-	return r.pushedBack(upstream.ID) || r.sender.Probe(ctx, upstream)
+// isReachable reports whether an upstream accepts connections; one that pushes back is not probed and assumed to be up.
+func (r *Relay) isReachable(ctx context.Context, upstream vaneyoke.Upstream) bool {
+	return r.isPushedBack(upstream.ID) || r.sender.Probe(ctx, upstream)
 }
 
-// notePushback takes in that an engine turned an attempt away and wants nothing for a while; what services say, their sender tells by itself.
-func (r *Relay) notePushback(upstream vaneyoke.Upstream, err error) {
-	if away, ok := errors.AsType[*engine.NotSentError](err); ok && away.Pushback > 0 && r.holder != nil {
-		r.holder.Signalled(pushback.Signal{Upstream: upstream, Pushback: away.Pushback})
+// recordPushback records the pushback of an engine that declined an attempt; the sender records those of services
+// itself.
+func (r *Relay) recordPushback(upstream vaneyoke.Upstream, err error) {
+	if notSent, ok := errors.AsType[*engine.NotSentError](err); ok && notSent.Pushback > 0 && r.pushbacks != nil {
+		r.pushbacks.Signalled(pushback.Signal{Upstream: upstream, Pushback: notSent.Pushback})
 	}
 }
--- a/shell/relay/record.go
+++ b/shell/relay/record.go
@@ -9,53 +9,53 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// pace follows when an answer's pieces were let through.
+// pace tracks when the chunks of an answer were accepted.
 type pace struct {
-	first, last time.Time     // zero before the first piece
-	longest     time.Duration // longest pause between two pieces
+	first, last time.Time     // zero before the first chunk
+	longestGap  time.Duration // longest gap between two chunks
 }
 
 func (p *pace) add(now time.Time) {
 	if p.first.IsZero() {
 		p.first = now
 	} else {
-		p.longest = max(p.longest, now.Sub(p.last))
+		p.longestGap = max(p.longestGap, now.Sub(p.last))
 	}
 	p.last = now
 }
 
-// measure counts an opaque request at its route.
-func (s *Session) measure() {
+// recordRoute counts an opaque request in its route's metrics.
+func (s *Session) recordRoute() {
 	if _, ok := s.mode.(*forwarded); !ok {
 		return
 	}
 	s.relay.metrics.Routes.Add(s.req.Kind+" "+s.result.Code.Info().Name, 1)
 	if s.result.Code == vaneyoke.CodeOK {
-		s.relay.metrics.Latencies.Add(s.req.Kind, s.pace.first.Sub(s.req.ReceivedAt), s.pace.longest, time.Since(s.req.ReceivedAt))
+		s.relay.metrics.Latencies.Add(s.req.Kind, s.pace.first.Sub(s.req.ReceivedAt), s.pace.longestGap, time.Since(s.req.ReceivedAt))
 	}
 }
 
-// isPlain reports whether nothing is to be told of the session but that it went well.
-func (s *Session) isPlain() bool {
+// isUneventful reports whether the session succeeded without anything notable.
+func (s *Session) isUneventful() bool {
 	stats := s.result.Stats
 	return s.result.Code == vaneyoke.CodeOK && stats.Attempts <= 1 && stats.Losses == 0 && stats.Suspected == 0 && !s.isLate()
 }
 
-// isLate reports whether an opaque answer came later than its route aims at.
+// isLate reports whether an opaque answer missed a goal of its route.
 func (s *Session) isLate() bool {
 	m, ok := s.mode.(*forwarded)
-	return ok && (s.pace.first.Sub(s.req.ReceivedAt) > m.Goal || (m.Pause > 0 && s.pace.longest > m.Pause))
+	return ok && (s.pace.first.Sub(s.req.ReceivedAt) > m.LatencyGoal || (m.EventIntervalGoal > 0 && s.pace.longestGap > m.EventIntervalGoal))
 }
 
-// version returns the version of the configuration that an opaque request went by, 0 for any other.
-func (s *Session) version() vaneyoke.Revision {
+// configRevision returns the revision of the configuration that an opaque request used, 0 for any other request.
+func (s *Session) configRevision() vaneyoke.Revision {
 	if m, ok := s.mode.(*forwarded); ok {
-		return m.Version
+		return m.ConfigRevision
 	}
 	return 0
 }
 
-// firstMs returns the time to the first piece in milliseconds, -1 where none has come.
+// firstMs returns the time to the first chunk in milliseconds, -1 if none has arrived.
 func (s *Session) firstMs() int64 {
 	if s.pace.first.IsZero() {
 		return -1
@@ -63,35 +63,35 @@
 	return s.pace.first.Sub(s.req.ReceivedAt).Milliseconds()
 }
 
-// leftMs returns what was left of an opaque request's time when it ended, in milliseconds.
-func (s *Session) leftMs() int64 {
+// timeLeftMs returns the remaining time of an opaque request in milliseconds, 0 for any other request.
+func (s *Session) timeLeftMs() int64 {
 	if m, ok := s.mode.(*forwarded); ok {
 		return time.Until(m.Deadline).Milliseconds()
 	}
 	return 0
 }
 
-// record writes the session's log line, metrics and span.
-func (s *Session) record() {
+// recordEnd writes the session's log line, metrics and span.
+func (s *Session) recordEnd() {
 	m, stats := s.relay.metrics, s.result.Stats
 	m.Open.Add(-1)
 	m.Tokens.Add(int64(s.result.Usage.Completion))
 	m.Discarded.Add(int64(stats.DiscardedTokens))
 	m.Reprefill.Add(int64(stats.ReprefilledTokens))
 	m.Results.Add(s.result.Code.Info().Name, 1)
-	s.measure()
+	s.recordRoute()
 	s.countUnanswered()
 	s.span.SetAttributes(attribute.Int("code", int(s.result.Code)), attribute.Int("attempts", stats.Attempts))
 	s.span.End()
-	if s.isPlain() && s.relay.plain.Add(1)%s.relay.config.PlainEvery != 0 {
+	if s.isUneventful() && s.relay.uneventful.Add(1)%s.relay.config.UneventfulLogEvery != 0 {
 		return
 	}
 	s.relay.log.WithFields(logrus.Fields{
 		"route":     s.req.Kind,
-		"upstream":  s.last,
-		"version":   s.version(),
+		"upstream":  s.lastUpstream,
+		"version":   s.configRevision(),
 		"prompt":    s.need.PromptBytes,
-		"left_ms":   s.leftMs(),
+		"left_ms":   s.timeLeftMs(),
 		"request":   s.req.ID,
 		"content":   s.req.Content,
 		"workspace": s.req.Workspace,
@@ -102,13 +102,13 @@
 		"losses":    stats.Losses,
 		"discarded": stats.DiscardedTokens,
 		"first_ms":  s.firstMs(),
-		"gap_ms":    s.pace.longest.Milliseconds(),
+		"gap_ms":    s.pace.longestGap.Milliseconds(),
 		"ms":        time.Since(s.req.ReceivedAt).Milliseconds(),
 	}).Info("session_ended")
 }
 
-// drop tells of a session that is left where it stands because the relay is closed.
-func (s *Session) drop() {
+// logDropped logs a session that is dropped because the relay is closed.
+func (s *Session) logDropped() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.result.Ended {
@@ -116,12 +116,12 @@
 	}
 	s.relay.log.WithFields(logrus.Fields{
 		"route":    s.req.Kind,
-		"upstream": s.last,
+		"upstream": s.lastUpstream,
 		"request":  s.req.ID,
 		"sent":     s.state.MayHaveRun(),
 		"tokens":   s.state.Transcript().Len(),
 		"attempts": s.state.Stats().Attempts,
 		"ms":       time.Since(s.req.ReceivedAt).Milliseconds(),
-		"left_ms":  s.leftMs(),
+		"left_ms":  s.timeLeftMs(),
 	}).Warn("session_dropped")
 }
--- a/shell/relay/relay.go
+++ b/shell/relay/relay.go
@@ -22,137 +22,139 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// Placer chooses upstreams and keeps account of what was sent to them.
+// Placer chooses upstreams and tracks what was sent to them.
 type Placer interface {
-	// Admit notes that a request was taken, which earns a share of a retry.
+	// Admit records an accepted request, which adds a fraction of a retry to the budget.
 	Admit(need placement.Need)
-	// Place returns an upstream and its expected time to the first token, or an error with a result code.
-	// A retry counts against the retry budget.
+	// Place returns an upstream and its expected time to first token, or an error with a result code. A retry counts
+	// against the retry budget.
 	Place(need placement.Need, retry bool) (vaneyoke.Upstream, time.Duration, error)
-	// Unsent notes that a retry never reached its upstream, so that it does not count against the budget.
-	Unsent(need placement.Need)
-	// Holders returns the upstreams that may keep a prompt.
-	Holders(need placement.Need) []vaneyoke.Upstream
-	// Homes returns the upstreams of which one is to get a prompt, the preferred ones first.
-	Homes(need placement.Need) []vaneyoke.Upstream
-	// Spares returns upstreams that can be asked for their reports because no home of a prompt is free.
-	Spares(need placement.Need) []vaneyoke.Upstream
-	// HasRoom reports whether an upstream that may get a prompt has room for it, as far as upstreams told of their memory.
+	// RefundRetry records that a retry never reached its upstream, so that it does not count against the budget.
+	RefundRetry(need placement.Need)
+	// PromptHolders returns the upstreams that may hold a prompt.
+	PromptHolders(need placement.Need) []vaneyoke.Upstream
+	// AffinityUpstreams returns the upstreams that should serve a prompt, in order of preference.
+	AffinityUpstreams(need placement.Need) []vaneyoke.Upstream
+	// SpilloverUpstreams returns upstreams to ask for their load reports if none of a prompt's affinity upstreams is
+	// free.
+	SpilloverUpstreams(need placement.Need) []vaneyoke.Upstream
+	// HasRoom reports whether an upstream that may get a prompt has room for it, as far as upstreams report their
+	// memory.
 	HasRoom(need placement.Need) bool
-	// Reported notes what an upstream told of its work.
+	// Reported records the load that an upstream reported.
 	Reported(id vaneyoke.UpstreamID, report vaneyoke.LoadReport)
-	// Replica returns an upstream that can keep a replica of a run on another; ok is false where there is none.
-	Replica(need placement.Need, primary vaneyoke.Upstream) (replica vaneyoke.Upstream, ok bool)
-	// Released notes that a replica is needed no more.
-	Released(replica vaneyoke.UpstreamID, need placement.Need)
-	// FirstToken notes that an attempt's first token came after a while.
-	FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int)
-	// Resumed notes that an attempt was attached again to an upstream that it had lost.
+	// PickReplica returns an upstream that can keep a replica of a run on another; ok is false if there is none.
+	PickReplica(need placement.Need, primary vaneyoke.Upstream) (replica vaneyoke.Upstream, ok bool)
+	// ReleaseReplica records that a replica is no longer needed.
+	ReleaseReplica(replica vaneyoke.UpstreamID, need placement.Need)
+	// FirstToken records how long an attempt's first token took.
+	FirstToken(id vaneyoke.UpstreamID, elapsed time.Duration, promptBytes int)
+	// Resumed records that an attempt was reconnected to an upstream that it had lost.
 	Resumed(id vaneyoke.UpstreamID)
-	// Ended notes how an attempt on a placed upstream came out; begun says whether its first token had come.
-	Ended(id vaneyoke.UpstreamID, outcome placement.Outcome, begun bool)
+	// Ended records the outcome of an attempt on a placed upstream.
+	Ended(id vaneyoke.UpstreamID, outcome placement.Outcome, gotFirstToken bool)
 }
 
-// Trier is a Placer whose services may move to another version of their upstreams.
-type Trier interface {
-	// Draws reports whether a new request tries the version to which its service moves.
-	Draws(service vaneyoke.ServiceID) bool
-	// Answered notes how an upstream answered a request of a route.
-	Answered(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer)
+// RolloutPlacer is a Placer that can roll out another version of a service's upstreams.
+type RolloutPlacer interface {
+	// DrawCanary reports whether a new request should use the target version of its service's rollout.
+	DrawCanary(service vaneyoke.ServiceID) bool
+	// RecordAnswer records how an upstream answered a request of a route.
+	RecordAnswer(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer)
 }
 
-// Doubter is a Placer whose list of upstreams may be out of date.
-type Doubter interface {
-	// Doubts reports whether upstreams may have been replaced without the list saying so.
-	Doubts() bool
-	// Replaced notes that another upstream has the address of one that was placed.
+// StalenessChecker is a Placer whose list of upstreams may be stale.
+type StalenessChecker interface {
+	// MayBeStale reports whether upstreams may have been replaced without the list showing it.
+	MayBeStale() bool
+	// Replaced records that another upstream has the address of one that was placed.
 	Replaced(need placement.Need, retry bool, id vaneyoke.UpstreamID)
 }
 
-// Meter counts what requests took of upstreams.
+// Meter measures the load of requests on upstreams.
 type Meter interface {
-	// Began notes that an upstream began a request of a workspace; it is called once for each request.
-	Began(workspace vaneyoke.WorkspaceID)
-	// Used notes what an attempt took of a service's upstream.
-	Used(service vaneyoke.ServiceID, load capacity.Load)
+	// CountRequest counts a request of a workspace that an upstream has started; it is called once for each request.
+	CountRequest(workspace vaneyoke.WorkspaceID)
+	// AddLoad adds the load of an attempt on a service's upstream.
+	AddLoad(service vaneyoke.ServiceID, load capacity.Load)
 }
 
-// Relay starts sessions.
+// Relay starts sessions and tracks those that run.
 type Relay struct {
-	engines *engine.Client
-	sender  forward.Sender // nil where no opaque requests are taken
-	placer  Placer
-	trier   Trier   // nil where no service moves
-	doubter Doubter // nil where the list of upstreams is taken for true
-	guard   Guard   // nil where requests are not followed that end upstreams
-	limiter Limiter // nil where upstreams name no limits
-	holder  Holder  // nil where upstreams ask for nothing
-	meter   Meter   // nil where nothing is counted
-	tracer  trace.Tracer
-	metrics *Metrics
-	log     logrus.FieldLogger
-	config  Config
-	ctx     context.Context // ends when the relay is closed
-	stop    context.CancelFunc
-	plain   atomic.Uint64 // sessions of which nothing is to be told
+	engines    *engine.Client
+	sender     forward.Sender // nil if no opaque requests are served
+	placer     Placer
+	rollouts   RolloutPlacer    // nil if there are no rollouts
+	staleness  StalenessChecker // nil if the list of upstreams is assumed to be current
+	guard      CrashGuard       // nil if crashes are not tracked
+	limiter    Limiter          // nil if upstreams declare no limits
+	pushbacks  PushbackTracker  // nil if pushbacks are not tracked
+	meter      Meter            // nil if load is not measured
+	tracer     trace.Tracer
+	metrics    *Metrics
+	log        logrus.FieldLogger
+	config     Config
+	ctx        context.Context // canceled when the relay is closed
+	stop       context.CancelFunc
+	uneventful atomic.Uint64 // number of uneventful sessions
 
-	mu      sync.Mutex
-	running map[*Session]struct{}
-	over    bool // no session may begin or go on
+	mu       sync.Mutex
+	running  map[*Session]struct{}
+	stopping bool // no session may start or continue
 }
 
-// Config holds what all sessions share.
+// Config holds the settings that all sessions share.
 type Config struct {
-	Generation  generation.Config
-	CallSilence time.Duration // silence of a service that makes a call suspect
-	PlainEvery  uint64        // of so many sessions that went well, one is logged
-	WholeLimit  time.Duration // longest time that an engine may take for an answer that is not streamed
+	Generation         generation.Config
+	CallSilence        time.Duration // silence of a service after which a call is suspect
+	UneventfulLogEvery uint64        // one out of this many uneventful sessions is logged
+	UnaryTimeout       time.Duration // longest time that an engine may take for a unary answer
 }
 
-// New returns a relay.
+// New returns a relay. The placer may implement further interfaces of this package.
 func New(engines *engine.Client, sender forward.Sender, placer Placer, tracer trace.Tracer, metrics *Metrics, log logrus.FieldLogger, config Config) *Relay {
-	config.PlainEvery = max(config.PlainEvery, 1)
+	config.UneventfulLogEvery = max(config.UneventfulLogEvery, 1)
 	ctx, stop := context.WithCancel(context.Background())
-	trier, _ := placer.(Trier)
-	doubter, _ := placer.(Doubter)
-	guard, _ := placer.(Guard)
+	rollouts, _ := placer.(RolloutPlacer)
+	staleness, _ := placer.(StalenessChecker)
+	guard, _ := placer.(CrashGuard)
 	limiter, _ := placer.(Limiter)
-	holder, _ := placer.(Holder)
+	pushbacks, _ := placer.(PushbackTracker)
 	meter, _ := placer.(Meter)
 	return &Relay{
-		engines: engines, sender: sender, placer: placer, trier: trier, doubter: doubter, guard: guard, limiter: limiter, holder: holder, meter: meter, tracer: tracer, metrics: metrics, log: log, config: config,
+		engines: engines, sender: sender, placer: placer, rollouts: rollouts, staleness: staleness, guard: guard, limiter: limiter, pushbacks: pushbacks, meter: meter, tracer: tracer, metrics: metrics, log: log, config: config,
 		ctx: ctx, stop: stop, running: map[*Session]struct{}{},
 	}
 }
 
-// Close drops all sessions where they stand, as the death of the process would, and tells which.
+// Close drops all sessions without a result, as a crash of the process would, and logs them.
 func (r *Relay) Close() {
 	r.stop()
 	for _, s := range r.sessions() {
-		s.drop()
+		s.logDropped()
 	}
 }
 
-// Interrupt ends all sessions where they stand, each with a result that its caller can be given, and those that would begin
-// later too. It returns how many were running.
+// Interrupt ends all sessions, and those started later, with a result for their callers. It returns how many were
+// running.
 func (r *Relay) Interrupt() int {
 	r.mu.Lock()
-	r.over = true
+	r.stopping = true
 	r.mu.Unlock()
 	return interrupt(r.sessions())
 }
 
-// InterruptStreams ends the streams where they stand, and leaves calls alone. It returns how many were running.
+// InterruptStreams ends the streams and leaves calls running. It returns how many streams were running.
 func (r *Relay) InterruptStreams() int { return interrupt(r.streams()) }
 
-// Streams returns how many streams run.
+// Streams returns the number of running streams.
 func (r *Relay) Streams() int { return len(r.streams()) }
 
 func (r *Relay) streams() []*Session {
 	return slices.DeleteFunc(r.sessions(), func(s *Session) bool { return !s.isStream() })
 }
 
-// Suspended tells all sessions that the VM stood still for a while that the node's clock has not counted.
+// Suspended tells all sessions that the VM was suspended for a time that the node's clock has not counted.
 func (r *Relay) Suspended(d time.Duration) {
 	for _, s := range r.sessions() {
 		s.suspended(time.Now(), d)
@@ -183,47 +185,47 @@
 	return slices.Collect(maps.Keys(r.running))
 }
 
-// follow keeps a session among those that run, and reports whether it may.
-func (r *Relay) follow(s *Session) bool {
+// track adds a session to the running ones and reports whether it may run.
+func (r *Relay) track(s *Session) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running[s] = struct{}{}
-	return !r.over
+	return !r.stopping
 }
 
-// unfollow takes a session that has ended off those that run.
-func (r *Relay) unfollow(s *Session) {
+// untrack removes a session that has ended.
+func (r *Relay) untrack(s *Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.running, s)
 }
 
-// Generate starts a generation; its session runs until it ends or is abandoned, whatever becomes of ctx.
+// Generate starts a generation; its session runs until it ends or is abandoned, even if ctx is canceled.
 func (r *Relay) Generate(ctx context.Context, req *vaneyoke.Request) *Session {
 	need := placement.Need{Kind: vaneyoke.KindEngine, Model: req.Model, Order: req.Order, PromptBytes: req.PromptBytes}
-	return r.begin(ctx, req, need, modeOf(req))
+	return r.startSession(ctx, req, need, modeOf(req))
 }
 
 func modeOf(req *vaneyoke.Request) mode {
 	if req.Continuable {
-		return &streamed{req: req}
+		return &streaming{req: req}
 	}
-	run := openai.NonStreamRequest(req)
-	return &whole{path: run.Path, body: encode(run.Fields)}
+	engineReq := openai.NonStreamRequest(req)
+	return &unary{path: engineReq.Path, body: encode(engineReq.Fields)}
 }
 
-// Call starts a call to a plain service.
+// Call starts a call to a service that answers in one body.
 func (r *Relay) Call(ctx context.Context, req *vaneyoke.Request, service vaneyoke.ServiceID, path string, body []byte) *Session {
 	need := placement.Need{Kind: vaneyoke.KindService, Service: service, Order: req.Order, PromptBytes: len(body)}
-	return r.begin(ctx, req, need, &whole{path: path, body: body})
+	return r.startSession(ctx, req, need, &unary{path: path, body: body})
 }
 
-func (r *Relay) begin(ctx context.Context, req *vaneyoke.Request, need placement.Need, m mode) *Session {
+func (r *Relay) startSession(ctx context.Context, req *vaneyoke.Request, need placement.Need, m mode) *Session {
 	config := r.configOf(req, need, m)
 	s := newSession(ctx, r, req, need, m, generation.New(config, newRand()))
 	s.epoch = 1
 	r.metrics.Sessions.Add(1)
-	if !r.follow(s) {
+	if !r.track(s) {
 		s.handle(time.Now(), generation.NodeStopping{})
 		return s
 	}
@@ -234,7 +236,7 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// configOf returns what a request's generation is decided by.
+// configOf returns the configuration of a request's generation.
 func (r *Relay) configOf(req *vaneyoke.Request, need placement.Need, m mode) generation.Config {
 	config := r.config.Generation
 	config.Repeatable = req.Repeatable
@@ -243,16 +245,16 @@
 		config.MaxWait = req.MaxWait
 	}
 	switch m := m.(type) {
-	case *streamed:
+	case *streaming:
 		config.MaxTokens = req.MaxTokens
 		config.Stop = generation.Stop{Strings: req.Stop, Include: req.IncludeStop}
-	case *whole:
-		config.Silence.FirstToken = r.config.WholeLimit
+	case *unary:
+		config.Silence.FirstToken = r.config.UnaryTimeout
 		if need.Kind == vaneyoke.KindService {
 			config.Silence.FirstToken = r.config.CallSilence
 		}
 	case *forwarded:
-		m.decide(&config, time.Now())
+		m.applyTo(&config, time.Now())
 	}
 	return config
 }
--- a/shell/relay/restore.go
+++ b/shell/relay/restore.go
@@ -10,26 +10,26 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// Saved is what one node has to know to go on with another's session.
+// Saved is the state that one node needs to continue another's session.
 type Saved struct {
-	Epoch      uint64 // of the owner that goes on with it
+	Epoch      uint64 // of the owner that continues it
 	Restored   generation.Restored
-	Trims      int // how often ids at the end were taken back
+	Trims      int // how often ids at the end were removed
 	StreamName string
 	StreamBase vaneyoke.Tokens
-	Upstream   vaneyoke.Upstream // of the stream; its URL is "" where it is not known any more
-	Result     *Result           // nil where the session was running
+	Upstream   vaneyoke.Upstream // of the stream; its URL is "" if it is no longer known
+	Result     *Result           // nil if the session was running
 	Answer     engine.Answer
 }
 
-// Save returns the session as another node would need it; its slices must not be changed.
+// Save returns the session's state for another node; its slices must not be modified.
 func (s *Session) Save() Saved {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.saveLocked()
 }
 
-// HandOver ends the session here and returns it as its next owner needs it.
+// HandOver ends the session here and returns its state for the next owner.
 func (s *Session) HandOver() Saved {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 		Answer:   s.answer,
 	}
 	if l := s.links[s.state.StreamingAttempt()]; l != nil {
-		saved.StreamName, saved.StreamBase, saved.Upstream = l.name, l.base, l.upstream
+		saved.StreamName, saved.StreamBase, saved.Upstream = l.streamName, l.base, l.upstream
 		saved.Restored.Upstream = l.upstream.ID
 	}
 	if s.result.Ended {
@@ -57,32 +57,32 @@
 	return saved
 }
 
-// Supersede ends the session here because another node goes on with it.
+// Supersede ends the session here because another node continues it.
 func (s *Session) Supersede() { s.handle(time.Now(), generation.Superseded{}) }
 
-// LeaveToNext ends the session here because the node ends; its run goes on for the node that takes the session over.
-func (s *Session) LeaveToNext() { s.handle(time.Now(), generation.NodeStopping{KeepRuns: true}) }
+// Detach ends the session here because the node stops; its run continues for the node that takes the session over.
+func (s *Session) Detach() { s.handle(time.Now(), generation.NodeStopping{KeepRuns: true}) }
 
-// Restore goes on with another node's session.
+// Restore continues another node's session.
 func (r *Relay) Restore(ctx context.Context, req *vaneyoke.Request, saved Saved) *Session {
 	need := placement.Need{Kind: vaneyoke.KindEngine, Model: req.Model, Order: req.Order, PromptBytes: req.PromptBytes}
 	m := modeOf(req)
 	now := time.Now()
 	from := saved.Restored
 	from.Ended = saved.Result != nil
-	if _, ok := m.(*whole); ok || saved.Upstream.URL == "" {
+	if _, ok := m.(*unary); ok || saved.Upstream.URL == "" {
 		from.Upstream = ""
 	}
 	state, effects := generation.Restore(now, r.configOf(req, need, m), newRand(), from)
 	s := newSession(ctx, r, req, need, m, state)
 	s.epoch = saved.Epoch
-	goesOn := r.follow(s)
+	mayRun := r.track(s)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.links[generation.RestoredStream] = &link{
-		upstream: saved.Upstream, name: saved.StreamName, base: saved.StreamBase, settled: true, cancel: func() {},
+		upstream: saved.Upstream, streamName: saved.StreamName, base: saved.StreamBase, outcomeReported: true, cancel: func() {},
 	}
-	if s.result.Ended { // it was interrupted before it began
+	if s.result.Ended { // it was interrupted before it started
 		return s
 	}
 	if saved.Result != nil {
@@ -90,7 +90,7 @@
 		s.end(*saved.Result)
 		return s
 	}
-	if !goesOn {
+	if !mayRun {
 		s.handleLocked(now, generation.NodeStopping{KeepRuns: true})
 		return s
 	}
--- /dev/null
+++ b/shell/relay/rollout.go
@@ -0,0 +1,35 @@
+package relay
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/vaneyoke/vaneyoke"
+	"github.com/vaneyoke/vaneyoke/decide/rollout"
+)
+
+// paceChunks is the number of chunks over which a stream's mean chunk gap is measured.
+const paceChunks = 12
+
+// recordAnswer records for rollouts how an attempt's upstream answered.
+func (s *Session) recordAnswer(l *link, answer rollout.Answer) {
+	if s.relay.rollouts != nil && !l.sentAt.IsZero() {
+		s.relay.rollouts.RecordAnswer(l.upstream, vaneyoke.RouteID(s.req.Kind), answer)
+	}
+}
+
+// recordChunk records that a stream has produced a chunk.
+func (s *Session) recordChunk(now time.Time, l *link) {
+	s.recordReceived(now, l)
+	if l.chunks == paceChunks {
+		s.recordAnswer(l, rollout.Answer{Kind: rollout.AnswerChunkGap, Took: now.Sub(l.firstTokenAt) / (paceChunks - 1)})
+	}
+}
+
+// answerOf returns the answer for rollouts by the status of a complete response.
+func answerOf(status int, elapsed time.Duration) rollout.Answer {
+	if status >= http.StatusInternalServerError {
+		return rollout.Answer{Kind: rollout.AnswerFailed, Took: elapsed}
+	}
+	return rollout.Answer{Kind: rollout.AnswerGood, Took: elapsed}
+}
--- a/shell/relay/session.go
+++ b/shell/relay/session.go
@@ -24,45 +24,45 @@
 	stop  context.CancelFunc
 	span  trace.Span
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	state   *generation.State
-	links   map[vaneyoke.Attempt]*link
-	timer   *time.Timer
-	result  Result
-	answer  engine.Answer       // of a whole session
-	last    vaneyoke.UpstreamID // to which the last attempt was sent
-	pace    pace                // of what was let through
-	epoch   uint64              // counts the request's owners from 1
-
-	counted  bool          // whether the request was counted as one that an upstream began
-	proven   bool          // whether an upstream has run the request for so long that it does not end those that do
-	verified chan struct{} // closed when it is known what the last loss tells of the request; nil for none
-}
-
-// link is the shell's side of one attempt.
+	mu           sync.Mutex
+	changed      *sync.Cond
+	state        *generation.State
+	links        map[vaneyoke.Attempt]*link
+	timer        *time.Timer
+	result       Result
+	answer       engine.Answer       // of a unary session
+	lastUpstream vaneyoke.UpstreamID // of the last attempt
+	pace         pace                // of the accepted chunks
+	epoch        uint64              // counts the owners of the request from 1
+
+	counted      bool          // whether the request was counted as started by an upstream
+	provenSafe   bool          // whether an upstream has run the request for so long that it is not one that crashes upstreams
+	crashChecked chan struct{} // closed when the check for a crash after the last loss is done; nil if there was none
+}
+
+// link is the relay's side of one attempt.
 type link struct {
-	cancel      context.CancelFunc
-	upstream    vaneyoke.Upstream
-	replica     vaneyoke.Upstream // keeps a replica of the run's memory; the zero value for none
-	name        string            // by which the engine knows the run
-	base        vaneyoke.Tokens   // answer's index of the first token of the run on the engine
-	fromReplica bool              // whether the run goes on from a replica, which says nothing of how long prompts take
-	started     bool              // whether anything was sent
-	sentAt      time.Time         // when the run was started, zero for a resumed stream
-	retry       bool              // whether it counts against the retry budget
-	resumed     bool              // whether it is attached to an earlier attempt's stream
-	begun       bool              // whether its first token has come
-	fenced      bool              // whether the attempt was cancelled
-	settled     bool              // whether the placer knows how the attempt came out
-	headAt      time.Time         // when the head of its answer came; the zero time where it has not
-	begunAt     time.Time         // when its first piece came
-	pieces      int               // that have come
-	heardAt     time.Time         // when the head or the last piece came
-	headFirst   bool              // whether the head of its answer comes as its run begins
-}
-
-// Result says how a session ended; it is zero while the session runs.
+	cancel          context.CancelFunc
+	upstream        vaneyoke.Upstream
+	replica         vaneyoke.Upstream // keeps a replica of the run's KV cache; the zero value if there is none
+	streamName      string            // the engine's name of the run
+	base            vaneyoke.Tokens   // index in the answer of the first token of the run on the engine
+	fromReplica     bool              // whether the run resumes from a replica, so that its first token does not tell how long prefill takes
+	started         bool              // whether anything was sent
+	sentAt          time.Time         // when the run was started, zero for a resumed stream
+	isRetry         bool              // whether it counts against the retry budget
+	resumed         bool              // whether it is attached to an earlier attempt's stream
+	gotFirstToken   bool              // whether its first token has arrived
+	fenced          bool              // whether the attempt was cancelled
+	outcomeReported bool              // whether the placer knows the outcome of the attempt
+	headAt          time.Time         // when the head of its answer arrived; zero if it has not
+	firstTokenAt    time.Time         // when its first chunk arrived
+	chunks          int               // number that has arrived
+	lastReceivedAt  time.Time         // when the head or the last chunk arrived
+	headAtStart     bool              // whether the head of its answer arrives when its run starts
+}
+
+// Result is the outcome of a session; it is zero while the session runs.
 type Result struct {
 	Ended      bool
 	Code       vaneyoke.Code
@@ -73,16 +73,16 @@
 	Stats      generation.Stats
 }
 
-// Err returns the result as an error, or nil where the answer is whole.
+// Err returns the result as an error, or nil if the answer is complete.
 func (r Result) Err() error {
 	if r.Code == vaneyoke.CodeOK {
 		return nil
 	}
-	text := r.Code.Info().Text
+	message := r.Code.Info().Text
 	if r.Detail != "" {
-		text += " (" + r.Detail + ")"
+		message += " (" + r.Detail + ")"
 	}
-	return vaneyoke.ErrRetryAfter(r.Code, r.RetryAfter, "%s", text)
+	return vaneyoke.ErrRetryAfter(r.Code, r.RetryAfter, "%s", message)
 }
 
 func newSession(ctx context.Context, r *Relay, req *vaneyoke.Request, need placement.Need, m mode, state *generation.State) *Session {
@@ -114,45 +114,45 @@
 // Abandon ends the session because nobody waits for its answer.
 func (s *Session) Abandon() { s.handle(time.Now(), generation.CallerGone{}) }
 
-// Read waits until the answer's text is longer than from bytes or has ended, and returns the new text.
-// The text must not be changed. Result is zero until the last text has been read.
-func (s *Session) Read(ctx context.Context, from int) ([]byte, Result, error) {
+// Read waits until the answer's text is longer than offset bytes or has ended, and returns the new text, which must not
+// be modified. Result is zero until the last text has been read.
+func (s *Session) Read(ctx context.Context, offset int) ([]byte, Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.readable(from) {
+	if !s.readable(offset) {
 		stop := context.AfterFunc(ctx, s.wake)
 		defer stop()
 	}
-	for !s.readable(from) {
+	for !s.readable(offset) {
 		if ctx.Err() != nil {
 			return nil, Result{}, vaneyoke.WrapErr(vaneyoke.CodeCallerGone, ctx.Err(), "caller is gone")
 		}
 		s.changed.Wait()
 	}
 	t := s.state.Transcript()
-	if t.Visible > from {
-		return t.Text[from:t.Visible:t.Visible], Result{}, nil
+	if t.Visible > offset {
+		return t.Text[offset:t.Visible:t.Visible], Result{}, nil
 	}
 	return nil, s.result, nil
 }
 
-func (s *Session) readable(from int) bool {
-	return s.state.Transcript().Visible > from || s.result.Ended
+func (s *Session) readable(offset int) bool {
+	return s.state.Transcript().Visible > offset || s.result.Ended
 }
 
 // Wait waits until the session has ended.
 func (s *Session) Wait(ctx context.Context) (Result, error) {
-	from := 0
+	offset := 0
 	for {
-		text, result, err := s.Read(ctx, from)
+		text, result, err := s.Read(ctx, offset)
 		if err != nil || result.Ended {
 			return result, err
 		}
-		from += len(text)
+		offset += len(text)
 	}
 }
 
-// Text returns the whole text of a session that has ended.
+// Text returns the text of a session that has ended.
 func (s *Session) Text() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +181,7 @@
 
 func (s *Session) tick() { s.handle(time.Now(), generation.Tick{}) }
 
-// handle gives an event to the state machine and carries out what it asks for.
+// handle passes an event to the state machine and executes the resulting effects.
 func (s *Session) handle(now time.Time, ev generation.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +196,7 @@
 		s.apply(effect)
 	}
 	if _, ok := ev.(*generation.Received); ok && s.state.Transcript().Len() > 1 {
-		return // the timer is set anew when it next fires
+		return // the timer is set again when it next fires
 	}
 	s.setTimer(now)
 }
@@ -210,17 +210,17 @@
 	s.timer.Reset(due.Sub(now))
 }
 
-// apply carries out an effect; whatever waits runs in a goroutine of its own.
+// apply executes an effect; effects that block run in their own goroutines.
 func (s *Session) apply(effect generation.Effect) {
 	switch e := effect.(type) {
 	case generation.Place:
 		go s.place(e)
 	case generation.InspectTail:
-		go s.inspect(e, s.links[e.Attempt].upstream)
+		go s.inspectTail(e, s.links[e.Attempt].upstream)
 	case generation.Probe:
 		go s.probe(e)
 	case generation.QueryRun:
-		go s.ask(e)
+		go s.queryRun(e)
 	case generation.Start:
 		s.start(e)
 	case generation.Resume:
@@ -244,6 +244,6 @@
 	s.timer.Stop()
 	s.stop()
 	s.changed.Broadcast()
-	s.relay.unfollow(s)
-	s.record()
+	s.relay.untrack(s)
+	s.recordEnd()
 }
--- a/tools/measure/core.go
+++ b/tools/measure/core.go
@@ -74,18 +74,18 @@
 }
 
 // Resumed does nothing.
-func (onePlacer) Holders(placement.Need) []vaneyoke.Upstream    { return nil }
-func (onePlacer) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport) {}
-func (onePlacer) HasRoom(placement.Need) bool                   { return true }
-func (onePlacer) Spares(placement.Need) []vaneyoke.Upstream     { return nil }
-func (onePlacer) Homes(placement.Need) []vaneyoke.Upstream      { return nil }
-func (onePlacer) Unsent(placement.Need)                         {}
-func (onePlacer) Admit(placement.Need)                          {}
-func (onePlacer) Replica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
+func (onePlacer) PromptHolders(placement.Need) []vaneyoke.Upstream      { return nil }
+func (onePlacer) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport)     {}
+func (onePlacer) HasRoom(placement.Need) bool                           { return true }
+func (onePlacer) SpilloverUpstreams(placement.Need) []vaneyoke.Upstream { return nil }
+func (onePlacer) AffinityUpstreams(placement.Need) []vaneyoke.Upstream  { return nil }
+func (onePlacer) RefundRetry(placement.Need)                            {}
+func (onePlacer) Admit(placement.Need)                                  {}
+func (onePlacer) PickReplica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	return vaneyoke.Upstream{}, false
 }
-func (onePlacer) Released(vaneyoke.UpstreamID, placement.Need) {}
-func (onePlacer) Resumed(vaneyoke.UpstreamID)                  {}
+func (onePlacer) ReleaseReplica(vaneyoke.UpstreamID, placement.Need) {}
+func (onePlacer) Resumed(vaneyoke.UpstreamID)                        {}
 
 // Ended does nothing.
 func (onePlacer) Ended(vaneyoke.UpstreamID, placement.Outcome, bool) {}
