--- a/cmd/vaneyoke/fleet.go
+++ b/cmd/vaneyoke/fleet.go
@@ -34,7 +34,7 @@
 	Version vaneyoke.Revision `json:"version"`
 	Build   string            `json:"build"`  // "" where its build does not tell
 	Speaks  feed.Dialect      `json:"speaks"` // what its build understands
-	Part    mesh.Part         `json:"part"`
+	Part    mesh.NodeStatus   `json:"part"`
 	Leases  leaseViews        `json:"leases,omitempty"`
 	Silent  bool              `json:"silent,omitempty"` // whether it did not answer
 }
@@ -101,7 +101,7 @@
 		Build   string
 		Speaks  feed.Dialect
 		Mesh    struct {
-			Part mesh.Part `json:"part"`
+			Part mesh.NodeStatus `json:"part"`
 		} `json:"mesh"`
 		Duties struct {
 			Leases leaseViews `json:"leases"`
--- a/cmd/vaneyoke/fleet_test.go
+++ b/cmd/vaneyoke/fleet_test.go
@@ -31,15 +31,15 @@
 		mux := http.NewServeMux()
 		mux.HandleFunc("/debug/members", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(members) })
 		mux.HandleFunc("/debug/vars", func(w http.ResponseWriter, _ *http.Request) {
-			part := mesh.Part{Source: "edge-00", Reading: "nothing", Fresh: true, Reader: "edge-00"}
+			part := mesh.NodeStatus{Source: "edge-00", Reading: "nothing", Fresh: true, Reader: "edge-00"}
 			version := 12
 			switch i {
 			case 0:
-				part = mesh.Part{Followers: 4, Reading: "all", Fresh: true, Reader: "edge-00"}
+				part = mesh.NodeStatus{Followers: 4, Reading: "all", Fresh: true, Reader: "edge-00"}
 			case 3:
 				version = 11
 			case 5:
-				part = mesh.Part{Reading: "once", AgeMs: 31200, Reader: "edge-00"}
+				part = mesh.NodeStatus{Reading: "once", AgeMs: 31200, Reader: "edge-00"}
 			}
 			vars := map[string]any{"configuration_version": version, "mesh": map[string]any{"part": part}}
 			if i != 3 && i != 7 { // the builds of these two do not tell
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -69,7 +69,7 @@
 }
 
 // Doubts reports whether upstreams may have been replaced without the list saying so.
-func (b *gatewayPlacer) Doubts() bool { return b.mesh.Old() }
+func (b *gatewayPlacer) Doubts() bool { return b.mesh.Stale() }
 
 // FirstToken notes that an attempt's first token came after a while.
 func (b *gatewayPlacer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -128,11 +128,11 @@
 	client := do.MustInvoke[*storeClient](i).http
 	directory := do.MustInvoke[*routes](i)
 	config := mesh.DefaultConfig().InForceWithin(s.Gateway.InForceWithin)
-	config.Small.Wait = s.Gateway.FeedWait
+	config.SingleNode.Wait = s.Gateway.FeedWait
 	if s.Gateway.FirstStart {
 		config = config.AtFirstStart()
 	}
-	config.Small = config.Small.BackWithin(s.Gateway.BackWithin)
+	config.SingleNode = config.SingleNode.BackWithin(s.Gateway.BackWithin)
 	config.Reader = config.Reader.BackWithin(s.Gateway.BackWithin)
 	if s.Gateway.Peers == "" {
 		config.Feed.First, config.Feed.Choices = 0, 0 // it follows nobody
@@ -146,7 +146,7 @@
 	var node *mesh.Node
 	tables := map[string]mesh.Table{
 		"routes":    {Source: platform.NewConfig(client, s.Gateway.Store), Apply: directory.setTables},
-		"crashes":   {Source: platform.NewCrashes(client, s.Gateway.Store), MayLag: true, Spare: true, Apply: do.MustInvoke[*crashTables](i).set},
+		"crashes":   {Source: platform.NewCrashes(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: do.MustInvoke[*crashTables](i).set},
 		"upstreams": {Source: platform.NewEngines(client, s.Gateway.Store), Apply: directory.setUpstreams, Grace: lapseGrace(s.Gateway)},
 		"members": {Source: members, MayLag: true, Apply: func(_ time.Time, rows watch.Rows) {
 			node.SetMembers(mesh.DecodeMembers(rows))
@@ -154,7 +154,7 @@
 			directory.balancer.SetRetryBurst(fleetBudgetConfig(s.Retry, node.Members()).Burst)
 		}},
 	}
-	tables["limits"] = mesh.Table{Source: platform.NewLimits(client, s.Gateway.Store), MayLag: true, Spare: true, Apply: limits.setRows}
+	tables["limits"] = mesh.Table{Source: platform.NewLimits(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: limits.setRows}
 	if s.Rollout.Exposure > 0 {
 		tables["rollouts"] = mesh.Table{Source: platform.NewRollouts(client, s.Gateway.Store), MayLag: true, Apply: moves.setRecords}
 	}
@@ -169,7 +169,7 @@
 	vars.Set("retries_left", expvar.Func(func() any { return directory.balancer.RetriesLeft() }))
 	vars.Set("memory_bytes", expvar.Func(func() any { return memoryBytes() }))
 	vars.Set("members", expvar.Func(func() any { return node.Members() }))
-	vars.Set("tables_age_ms", expvar.Func(func() any { return hub.Word(steady.Now()).Age.Milliseconds() }))
+	vars.Set("tables_age_ms", expvar.Func(func() any { return hub.Status(steady.Now()).Age.Milliseconds() }))
 	return node, nil
 }
 
--- a/shell/mesh/borrow.go
+++ b/shell/mesh/borrow.go
@@ -16,67 +16,67 @@
 	"github.com/vaneyoke/vaneyoke/decide/feed"
 )
 
-// BorrowPath is where a node lends a retry to another.
+// BorrowPath is the HTTP path at which a node lends a retry to another.
 const BorrowPath = "/retries/borrow"
 
 const (
-	lenders    = 3                      // nodes that are asked for a retry, one after the other
-	lendWait   = 60 * time.Millisecond  // longest wait for one of them
-	lendPause  = 500 * time.Millisecond // in which nobody is asked after all of them refused
-	serviceKey = "service"
+	maxLenders    = 3                      // nodes that are asked in turn for a retry
+	lenderTimeout = 60 * time.Millisecond  // timeout of one request
+	refusalPause  = 500 * time.Millisecond // time without requests after all of them refused
+	serviceKey    = "service"
 )
 
-// Lender has nodes lend one another retries, so that the fleet's budget is not lost in shares that are too small for the node
-// that needs them: a retry that is lent counts at the lender, and the sum of all stays the same.
+// Lender lets nodes lend retries to one another. Otherwise the share of a node could be too small for its failures while other shares of the
+// fleet's retry budget stay unused. A lent retry is charged to the lender, so the total budget stays the same.
 type Lender struct {
 	node *Node
 	lend func(vaneyoke.ServiceID) bool
 
-	mu    sync.Mutex
-	until map[vaneyoke.ServiceID]time.Time // for which nobody is asked
+	mu        sync.Mutex
+	notBefore map[vaneyoke.ServiceID]time.Time // end of the pause after a refusal
 }
 
-// NewLender returns a lender among a mesh's members; lend takes a retry from the own budget.
+// NewLender returns a lender for the members of the mesh; lend takes a retry from this node's budget.
 func NewLender(node *Node, lend func(vaneyoke.ServiceID) bool) *Lender {
-	return &Lender{node: node, lend: lend, until: map[vaneyoke.ServiceID]time.Time{}}
+	return &Lender{node: node, lend: lend, notBefore: map[vaneyoke.ServiceID]time.Time{}}
 }
 
-// ServeHTTP lends a retry: 200, or 409 where there is none.
+// ServeHTTP lends a retry: status 200, or 409 if none is left.
 func (l *Lender) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if l.lend(vaneyoke.ServiceID(r.URL.Query().Get(serviceKey))) {
-		l.node.metrics.lent()
+		l.node.metrics.countLent()
 		return
 	}
 	w.WriteHeader(http.StatusConflict)
 }
 
-// Borrow reports whether another node lent a retry on a service.
+// Borrow reports whether another node lent a retry for a service.
 func (l *Lender) Borrow(ctx context.Context, service vaneyoke.ServiceID) bool {
-	if !l.mayAsk(time.Now(), service) {
+	if !l.mayBorrow(time.Now(), service) {
 		return false
 	}
-	for _, m := range l.node.anyOthers(lenders) {
-		if l.ask(ctx, m, service) {
-			l.node.metrics.borrowed()
+	for _, m := range l.node.randomPeers(maxLenders) {
+		if l.requestRetry(ctx, m, service) {
+			l.node.metrics.countBorrowed()
 			l.node.log.WithFields(logrus.Fields{"peer": m.VM, "service": service}).Info("retry_borrowed")
 			return true
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until[service] = time.Now().Add(lendPause)
+	l.notBefore[service] = time.Now().Add(refusalPause)
 	l.node.log.WithField("service", service).Info("retry_not_lent")
 	return false
 }
 
-func (l *Lender) mayAsk(now time.Time, service vaneyoke.ServiceID) bool {
+func (l *Lender) mayBorrow(now time.Time, service vaneyoke.ServiceID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !now.Before(l.until[service])
+	return !now.Before(l.notBefore[service])
 }
 
-func (l *Lender) ask(ctx context.Context, m feed.Member, service vaneyoke.ServiceID) bool {
-	ctx, cancel := context.WithTimeout(ctx, lendWait)
+func (l *Lender) requestRetry(ctx context.Context, m feed.Member, service vaneyoke.ServiceID) bool {
+	ctx, cancel := context.WithTimeout(ctx, lenderTimeout)
 	defer cancel()
 	query := url.Values{serviceKey: {string(service)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Address+BorrowPath+"?"+query.Encode(), nil)
@@ -87,28 +87,28 @@
 	if err != nil {
 		return false
 	}
-	_, _ = io.Copy(io.Discard, res.Body) // it is empty
+	_, _ = io.Copy(io.Discard, res.Body) // the body is empty
 	_ = res.Body.Close()
 	return res.StatusCode == http.StatusOK
 }
 
-// anyOthers returns a few members at random, those of the own data centre first.
-func (n *Node) anyOthers(most int) []feed.Member {
+// randomPeers returns up to limit other members in random order, those of this node's data centre first.
+func (n *Node) randomPeers(limit int) []feed.Member {
 	members := n.registeredMembers()
-	var near, far []feed.Member
+	var local, remote []feed.Member
 	for _, i := range rand.Perm(len(members)) {
 		m := members[i]
 		switch {
 		case m.VM == n.self.VM || m.Address == "":
 		case m.DataCentre == n.self.DataCentre:
-			near = append(near, m)
+			local = append(local, m)
 		default:
-			far = append(far, m)
+			remote = append(remote, m)
 		}
-		if len(near) >= most {
+		if len(local) >= limit {
 			break
 		}
 	}
-	all := slices.Concat(near, far)
-	return all[:min(len(all), most)]
+	all := slices.Concat(local, remote)
+	return all[:min(len(all), limit)]
 }
--- a/shell/mesh/borrow_test.go
+++ b/shell/mesh/borrow_test.go
@@ -15,23 +15,23 @@
 	"github.com/vaneyoke/vaneyoke/decide/retry"
 )
 
-// account is a node's budget, and what it gave away.
+// account is a node's retry budget and the number of retries requested from it.
 type account struct {
-	mu     sync.Mutex
-	budget *retry.Budget
-	asked  int
+	mu       sync.Mutex
+	budget   *retry.Budget
+	requests int
 }
 
 func (a *account) lend(vaneyoke.ServiceID) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked++
+	a.requests++
 	return a.budget.Take(time.Now())
 }
 
 func startLenders(t *testing.T, count int, burst float64) ([]*Lender, []*account) {
 	peers := startMesh(t, count)
-	until(t, allAt(peers, 1))
+	waitUntil(t, allAtVersion(peers, 1))
 	lenders := make([]*Lender, count)
 	accounts := make([]*account, count)
 	var members []feed.Member
@@ -52,19 +52,19 @@
 	return lenders, accounts
 }
 
-// TestRetriesAreLent has one node need more retries than its share: it gets those of the others, and all together never spend more than the
-// sum of the shares.
-func TestRetriesAreLent(t *testing.T) {
+// TestNodeBorrowsRetriesOfOthers checks that a node which needs more retries than its share gets those of the others, and that all nodes
+// together never spend more than the sum of the shares.
+func TestNodeBorrowsRetriesOfOthers(t *testing.T) {
 	const nodes, share = 4, 2
 	lenders, accounts := startLenders(t, nodes, share)
-	needy := lenders[0]
+	borrower := lenders[0]
 	got := 0
 	for range share {
 		must.True(t, accounts[0].lend("s"))
 	}
 	for range 20 * nodes * share {
-		needy.until = map[vaneyoke.ServiceID]time.Time{} // it asks again at once
-		if needy.Borrow(t.Context(), "s") {
+		borrower.notBefore = map[vaneyoke.ServiceID]time.Time{} // no pause after a refusal
+		if borrower.Borrow(t.Context(), "s") {
 			got++
 		}
 	}
@@ -74,19 +74,19 @@
 	}
 }
 
-// TestNobodyIsAskedAfterARefusal holds that a node whose fleet has no retries left does not ask at each loss.
-func TestNobodyIsAskedAfterARefusal(t *testing.T) {
+// TestNoBorrowingAfterRefusal checks that a node does not ask at each failure while the fleet has no retries left.
+func TestNoBorrowingAfterRefusal(t *testing.T) {
 	lenders, accounts := startLenders(t, 3, 0)
 	for range 10 {
 		must.False(t, lenders[0].Borrow(t.Context(), "s"))
 	}
-	must.EqOp(t, 2, accounts[1].asked+accounts[2].asked)
+	must.EqOp(t, 2, accounts[1].requests+accounts[2].requests)
 	must.False(t, lenders[0].Borrow(t.Context(), "other"))
-	must.EqOp(t, 4, accounts[1].asked+accounts[2].asked)
+	must.EqOp(t, 4, accounts[1].requests+accounts[2].requests)
 }
 
-// TestOneAloneBorrowsNothing has nobody to ask.
-func TestOneAloneBorrowsNothing(t *testing.T) {
+// TestSingleNodeBorrowsNothing checks a node without other members.
+func TestSingleNodeBorrowsNothing(t *testing.T) {
 	lenders, _ := startLenders(t, 1, 5)
 	must.False(t, lenders[0].Borrow(t.Context(), "s"))
 }
--- a/shell/mesh/chain_test.go
+++ b/shell/mesh/chain_test.go
@@ -11,36 +11,36 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// TestChainPassesPacketsOn has nodes follow one another in a chain, each told at times of its own, while rows come, change and
-// go: whenever one is told something it holds what the node before it holds, and a node that is told each change is told by the packets that
-// the reader made.
-func TestChainPassesPacketsOn(t *testing.T) {
+// TestChainForwardsPackets adds, changes and removes rows while nodes follow one another in a chain, each receiving updates at its own times.
+// After each update a node must hold the same rows as its source, and a node that receives each change must forward the packets of the
+// reader instead of encoding its own.
+func TestChainForwardsPackets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		chain := make([]*Hub, 4)
-		holds := make([]*watch.Rows, len(chain))
-		befores := make([]told, len(chain))
+		applied := make([]*watch.Rows, len(chain))
+		held := make([]heldVersions, len(chain))
 		for i := range chain {
-			chain[i], holds[i] = recorder()
-			befores[i] = told{}
+			chain[i], applied[i] = newRecordingHub()
+			held[i] = heldVersions{}
 		}
 		rows := watch.Rows{}
 		version := watch.Version(0)
-		same := 0
-		tell := func(i int) {
-			f, p := nextPacketOf(t, chain[i-1], now, befores[i])
-			chain[i].take(now, f, p)
+		forwarded := 0
+		send := func(i int) {
+			f, p := nextPacket(t, chain[i-1], now, held[i])
+			chain[i].applyFrame(now, f, p)
 			if p == nil {
 				return
 			}
 			if i+1 < len(chain) {
 				for _, next := range chain[i].packets {
 					if &next[0] == &p[0] {
-						same++
+						forwarded++
 					}
 				}
 			}
-			must.Eq(t, *holds[i-1], *holds[i])
+			must.Eq(t, *applied[i-1], *applied[i])
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch at := rapid.IntRange(0, len(chain)).Draw(t, "at"); at {
@@ -57,21 +57,21 @@
 					next[key] = row(fmt.Sprint(version), version)
 				}
 				rows = next
-				set(chain[0], now, "t", rows, version, now)
+				setConfirmed(chain[0], now, "t", rows, version, now)
 			case len(chain):
 				for i := 1; i < len(chain); i++ {
-					tell(i)
+					send(i)
 				}
 			default:
-				tell(at)
+				send(at)
 			}
 		}
 		for i := 1; i < len(chain); i++ {
-			tell(i)
+			send(i)
 		}
 		if version > 0 {
-			must.Eq(t, rows, *holds[len(chain)-1])
-			must.Positive(t, same)
+			must.Eq(t, rows, *applied[len(chain)-1])
+			must.Positive(t, forwarded)
 		}
 	})
 }
--- a/shell/mesh/config.go
+++ b/shell/mesh/config.go
@@ -7,55 +7,55 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// Config holds the bounds of the mesh.
+// Config holds the timeouts and intervals of the mesh.
 type Config struct {
-	Feed   feed.Config   // whom the node follows, and when it reads the store
-	Settle time.Duration // for which a new node does not go by the number of members, because the others of a new fleet register meanwhile
-	Beat   time.Duration // time between two frames without a change
-	Stall  time.Duration // time without a frame after which the node that is followed is given up, and longest wait for a node that is asked
-	Reader watch.Config  // of a node that reads the store for others
-	Small  watch.Config  // of a node without others
-	Slow   watch.Config  // of tables that may lag
+	Feed              feed.Config   // which node to follow, and when to read the store
+	SettleTime        time.Duration // after the start, the number of members is not used: the other nodes of a new fleet are still registering
+	HeartbeatInterval time.Duration // time between two frames while nothing changes
+	PeerTimeout       time.Duration // time without a frame after which the source counts as lost; also the timeout of a query to another node
+	Reader            watch.Config  // for a node that reads the store on behalf of others
+	SingleNode        watch.Config  // for a node without other members
+	Lagging           watch.Config  // for tables with MayLag
 
-	// FirstStart says that the whole system starts for the first time: no member stands in the store, so that a node registers itself first, and reads once the others have.
-	FirstStart bool
-	FirstLook  time.Duration // time from the start of such a node to its first look at the members
-	NextLook   time.Duration // time between two looks at them while it reads nothing else
+	// FirstStart is set when the whole system starts for the first time. The store has no members yet, so a node first registers itself, and reads the members after the others had time to register.
+	FirstStart          bool
+	MembersReadDelay    time.Duration // time from the start of such a node to its first read of the members
+	MembersReadInterval time.Duration // time between two reads of the members while it reads nothing else
 
-	Members   string        // name of the table in which the members register themselves
-	Check     time.Duration // time between two looks for members that are gone
-	GoneAfter time.Duration // for which a member must not have answered to be taken off
-	Again     time.Duration // longest time after which a node that was taken off registers itself again
+	MembersTable       string        // name of the table that lists the members
+	LivenessInterval   time.Duration // time between two checks of which members are reachable
+	RemoveAfter        time.Duration // a member is removed after it was unreachable for this long
+	MaxReregisterDelay time.Duration // upper bound of the random delay before a removed node registers again
 }
 
-// DefaultConfig returns the bounds that the nodes start from.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	reader := watch.DefaultConfig()
 	reader.Wait, reader.Slack = 1100*time.Millisecond, 500*time.Millisecond
-	slow := watch.DefaultConfig()
-	slow.Wait, slow.Slack, slow.Gather = 10*time.Second, 500*time.Millisecond, 300*time.Millisecond
-	slow.Pause, slow.First, slow.Most = time.Second, time.Second, 2*time.Second // who knows nobody is offered the tables sooner
+	lagging := watch.DefaultConfig()
+	lagging.Wait, lagging.Slack, lagging.Gather = 10*time.Second, 500*time.Millisecond, 300*time.Millisecond
+	lagging.Pause, lagging.First, lagging.Most = time.Second, time.Second, 2*time.Second // a node that knows no members receives offers of the tables sooner
 	return Config{
-		Feed: feed.DefaultConfig(), Settle: time.Second, Beat: 250 * time.Millisecond, Stall: 800 * time.Millisecond,
-		Reader: reader, Small: watch.DefaultConfig(), Slow: slow,
-		FirstLook: 350 * time.Millisecond, NextLook: time.Second,
-		Members: "members", Check: time.Minute, GoneAfter: 10 * time.Minute, Again: 2 * time.Second,
+		Feed: feed.DefaultConfig(), SettleTime: time.Second, HeartbeatInterval: 250 * time.Millisecond, PeerTimeout: 800 * time.Millisecond,
+		Reader: reader, SingleNode: watch.DefaultConfig(), Lagging: lagging,
+		MembersReadDelay: 350 * time.Millisecond, MembersReadInterval: time.Second,
+		MembersTable: "members", LivenessInterval: time.Minute, RemoveAfter: 10 * time.Minute, MaxReregisterDelay: 2 * time.Second,
 	}
 }
 
-// AtFirstStart returns the bounds of a system that starts for the first time. A node has as long as any other from its first look at the members until it reads the
-// store because it knows of none.
+// AtFirstStart returns the configuration for the first start of the whole system. The time between a node's first read of the members and
+// its read of all tables because it knows no other member stays the same as at any other start.
 func (c Config) AtFirstStart() Config {
 	c.FirstStart = true
-	c.Feed.First += c.FirstLook
+	c.Feed.First += c.MembersReadDelay
 	return c
 }
 
-// waitMargin is by how much a reader's wait for changes is shorter than the age from which its tables are old.
+// waitMargin is the difference between the age at which tables become stale and a reader's shorter wait for changes.
 const waitMargin = 400 * time.Millisecond
 
-// InForceWithin returns the bounds of a fleet in which a change has to be in force within a time: a node that finds out that
-// the one it follows is cut off from the store has half of it left to find another way.
+// InForceWithin returns the configuration for a fleet in which a change must take effect on all nodes within the bound. Tables become stale
+// after at most half of it, which leaves a node whose source has lost the store the other half to find another source.
 func (c Config) InForceWithin(bound time.Duration) Config {
 	c.Feed.OldAge = min(c.Feed.OldAge, bound/2)
 	c.Reader.Wait = min(c.Reader.Wait, max(c.Feed.OldAge-waitMargin, c.Feed.OldAge/2))
--- a/shell/mesh/datagram.go
+++ b/shell/mesh/datagram.go
@@ -12,86 +12,86 @@
 	"github.com/vaneyoke/vaneyoke/shell/ratelimits"
 )
 
-// marked are the kinds of datagram that begin with a mark before their JSON. No JSON text begins so: builds that know none of them pass
-// over all, and one that knows some passes over the others.
+// The type byte precedes the JSON of a datagram. It is a control character, with which no JSON text starts, so builds without type bytes
+// ignore such datagrams, and other builds ignore the types that they do not know.
 const (
-	unmarked   = 0x00 // a datagram without a mark
-	markLimits = 0x01
+	typeNone   = 0x00 // no type byte is sent
+	typeLimits = 0x01
 )
 
-// mostDatagram is the size of the largest datagram that is sent: nodes of all builds read so much of one.
-const mostDatagram = maxOfferBytes
+// maxDatagramBytes is the largest datagram sent: the size that nodes of all builds receive in full.
+const maxDatagramBytes = maxReceivedBytes
 
-// firstUnmarked is the first byte that is no mark.
-const firstUnmarked = ' '
+// firstTextByte is the lowest first byte of a datagram without a type byte.
+const firstTextByte = ' '
 
-// OnLimits sets what takes in messages of limits; it is called once, before the node runs.
-func (n *Node) OnLimits(take func(ratelimits.Message)) { n.takeLimits = take }
+// OnLimits sets the handler of messages about rate limits; it must be called at most once, before the node runs.
+func (n *Node) OnLimits(handle func(ratelimits.Message)) { n.onLimits = handle }
 
-// OnNeighbours sets what takes in the nodes next to this one in the tree; it is called once, before the node runs.
-func (n *Node) OnNeighbours(take func([]vaneyoke.VMID)) { n.takeNeighbours = take }
+// OnNeighbours sets the handler of changes of this node's neighbours in the tree; it must be called at most once, before the node runs.
+func (n *Node) OnNeighbours(handle func([]vaneyoke.VMID)) { n.onNeighbours = handle }
 
-// SendLimits sends a message to a member whose build takes it.
+// SendLimits sends a message about rate limits to a member, unless its build does not support them.
 func (n *Node) SendLimits(to vaneyoke.VMID, m ratelimits.Message) {
 	member, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == to })
 	if !ok || member.Speaks < feed.DialectLimits {
 		return
 	}
 	if len(m.Notices) == 0 {
-		n.sendMessage(member, markLimits, m)
+		n.sendMessage(member, typeLimits, m)
 		return
 	}
-	sendInParts(n, member, markLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{By: m.By, Notices: part} })
+	sendInParts(n, member, typeLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{By: m.By, Notices: part} })
 }
 
-// sendInParts sends things that are told together in as many datagrams as they need, since nodes of all builds read so much of one, and returns
-// how many of them went out; one that is too large by itself does not. An unmarked datagram has no mark.
-func sendInParts[T any](n *Node, to feed.Member, mark byte, all []T, message func(part []T) any) (sent int) {
-	switch n.sendMessage(to, mark, message(all)) {
-	case messageSent:
-		return len(all)
-	case messageTooLarge:
-		if len(all) < 2 {
-			n.metrics.tooLarge()
+// sendInParts sends items in as many datagrams as needed, since nodes receive only maxDatagramBytes of each, and returns the number of items
+// sent. An item that is too large for a datagram is dropped.
+func sendInParts[T any](n *Node, to feed.Member, typeByte byte, items []T, newMessage func(part []T) any) (sent int) {
+	switch n.sendMessage(to, typeByte, newMessage(items)) {
+	case sendSucceeded:
+		return len(items)
+	case sendTooLarge:
+		if len(items) < 2 {
+			n.metrics.countTooLarge()
 			return 0
 		}
-		half := len(all) / 2
-		return sendInParts(n, to, mark, all[:half], message) + sendInParts(n, to, mark, all[half:], message)
+		half := len(items) / 2
+		return sendInParts(n, to, typeByte, items[:half], newMessage) + sendInParts(n, to, typeByte, items[half:], newMessage)
 	default:
 		return 0
 	}
 }
 
-// sending is what became of a message.
-type sending int
+// sendResult is the outcome of sending a message.
+type sendResult int
 
 const (
-	messageLost sending = iota
-	messageSent
-	messageTooLarge
+	sendFailed sendResult = iota
+	sendSucceeded
+	sendTooLarge
 )
 
-// sendMessage sends a message in a datagram, behind its mark where it has one.
-func (n *Node) sendMessage(to feed.Member, mark byte, message any) sending {
+// sendMessage sends a message in one datagram, after its type byte unless that is typeNone.
+func (n *Node) sendMessage(to feed.Member, typeByte byte, message any) sendResult {
 	data, err := json.Marshal(message)
 	if err != nil {
 		n.log.WithField("error", err).Error("frame_unwritable")
-		return messageLost
+		return sendFailed
 	}
-	if mark != unmarked {
-		data = append([]byte{mark}, data...)
+	if typeByte != typeNone {
+		data = append([]byte{typeByte}, data...)
 	}
 	switch {
-	case len(data) > mostDatagram:
-		return messageTooLarge
+	case len(data) > maxDatagramBytes:
+		return sendTooLarge
 	case n.sendDatagram(to, data):
-		return messageSent
+		return sendSucceeded
 	default:
-		return messageLost
+		return sendFailed
 	}
 }
 
-// sendDatagram sends a datagram, and reports whether it went out.
+// sendDatagram sends a datagram and reports whether that succeeded.
 func (n *Node) sendDatagram(to feed.Member, data []byte) bool {
 	conn := n.datagrams.Load()
 	if conn == nil {
@@ -105,12 +105,12 @@
 	return err == nil
 }
 
-// takeMarked takes in a datagram that begins with a mark; one of a kind that is not known is left aside.
-func (n *Node) takeMarked(data []byte) {
+// handleTyped handles a datagram that starts with a type byte, and ignores unknown types.
+func (n *Node) handleTyped(data []byte) {
 	var m ratelimits.Message
-	if data[0] != markLimits || n.takeLimits == nil || json.Unmarshal(data[1:], &m) != nil {
-		n.metrics.passedOver()
+	if data[0] != typeLimits || n.onLimits == nil || json.Unmarshal(data[1:], &m) != nil {
+		n.metrics.countIgnored()
 		return
 	}
-	n.takeLimits(m)
+	n.onLimits(m)
 }
--- a/shell/mesh/fit_test.go
+++ b/shell/mesh/datagram_size_test.go
@@ -16,10 +16,10 @@
 	"github.com/vaneyoke/vaneyoke/shell/ratelimits"
 )
 
-// TestMessagesFitIntoDatagrams tells a neighbour as much at a time as is told, of names as long as they come.
+// TestMessagesFitIntoDatagrams sends a neighbour the largest batches of items, with the longest names in use.
 //
-// How much is told at a time was a number of things alone. Sixteen crashes told by a node with a long name, or ten limits of upstreams with long ids, made
-// a datagram of over 2 KiB, of which nodes read the first 2 KiB: all of it was lost, each time.
+// Batches were once limited only by their number of items. Sixteen crashes from a node with a long name, or ten limits of upstreams with long
+// ids, exceeded 2 KiB, of which nodes read only the first 2 KiB, so each such datagram was lost as a whole.
 func TestMessagesFitIntoDatagrams(t *testing.T) {
 	own, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -27,10 +27,10 @@
 	to, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = to.Close() })
-	n := bareNode()
+	n := idleNode()
 	n.datagrams.Store(&own)
 	n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Speaks: feed.DialectOwn}})
-	defer n.neighbours.met("to", feed.DialectOwn)()
+	defer n.neighbours.connected("to", feed.DialectOwn)()
 	const crashes, limits = 16, 10
 	var all []gossip.Sighting
 	for i := range crashes {
@@ -43,18 +43,18 @@
 	for i := range limits {
 		notices = append(notices, ratelimit.Notice{Upstream: vaneyoke.UpstreamID(fmt.Sprintf("%0200d", i)), Limit: vaneyoke.Limit{Named: true, Rate: 2.8}})
 	}
-	heard, named := 0, 0
-	other := bareNode()
+	sightingCount, noticeCount := 0, 0
+	other := idleNode()
 	other.self.VM = "other"
-	NewGossip(other, func(gossip.Sighting) { heard++ })
-	other.OnLimits(func(m ratelimits.Message) { named += len(m.Notices) })
-	n.tellSightings(gossip.Send{To: "to", Sightings: all})
+	NewGossip(other, func(gossip.Sighting) { sightingCount++ })
+	other.OnLimits(func(m ratelimits.Message) { noticeCount += len(m.Notices) })
+	n.sendSightings(gossip.Send{To: "to", Sightings: all})
 	n.SendLimits("to", ratelimits.Message{By: "self", Notices: notices})
-	buffer := make([]byte, maxOfferBytes)
-	for (heard < crashes || named < limits) && !t.Failed() {
+	buffer := make([]byte, maxReceivedBytes)
+	for (sightingCount < crashes || noticeCount < limits) && !t.Failed() {
 		must.NoError(t, to.SetReadDeadline(time.Now().Add(2*time.Second)))
 		size, _, err := to.ReadFrom(buffer)
-		must.NoError(t, err, must.Sprintf("%d of %d crashes and %d of %d limits came", heard, crashes, named, limits))
-		other.takeDatagram(t.Context(), buffer[:size])
+		must.NoError(t, err, must.Sprintf("received %d of %d crashes and %d of %d limits", sightingCount, crashes, noticeCount, limits))
+		other.handleDatagram(t.Context(), buffer[:size])
 	}
 }
--- a/shell/mesh/datagram_test.go
+++ b/shell/mesh/datagram_test.go
@@ -21,89 +21,89 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// bareNode returns a node that does not run.
-func bareNode() *Node {
+// idleNode returns a node that does not run.
+func idleNode() *Node {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return New(feed.Member{VM: "self"}, DefaultConfig(), NewHub(nil), &source{}, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), log)
+	return New(feed.Member{VM: "self"}, DefaultConfig(), NewHub(nil), &fakeStore{}, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), log)
 }
 
-// TestTableThatEarlierBuildsDoNotTell has a hub follow one that does not know one of its tables.
-func TestTableThatEarlierBuildsDoNotTell(t *testing.T) {
+// TestOptionalTableMissingAtSource checks that a hub is complete without an optional table if its source, of an earlier build, does not send that table.
+func TestOptionalTableMissingAtSource(t *testing.T) {
 	now := time.Unix(1000, 0)
-	earlier, _ := recorder()
-	set(earlier, now, "t", watch.Rows{"a": row("a", 5)}, 5, now)
+	earlier, _ := newRecordingHub()
+	setConfirmed(earlier, now, "t", watch.Rows{"a": row("a", 5)}, 5, now)
 	ignore := func(time.Time, watch.Rows) {}
-	hub := NewHub(map[string]Table{"t": {Apply: ignore}, "spare": {Apply: ignore, MayLag: true, Spare: true}})
-	p, b, _, err := earlier.next(now, toldOf(hub.held()))
+	hub := NewHub(map[string]Table{"t": {Apply: ignore}, "spare": {Apply: ignore, MayLag: true, Optional: true}})
+	p, status, _, err := earlier.nextUpdate(now, parseHeldVersions(hub.heldQuery()))
 	must.NoError(t, err)
 	f, err := p.unpack()
 	must.NoError(t, err)
-	f.Beat = &b
-	hub.take(now, f, p)
-	must.True(t, hub.Word(now).Known)
-	_, held := hub.held()["spare"]
+	f.Status = &status
+	hub.applyFrame(now, f, p)
+	must.True(t, hub.Status(now).Known)
+	_, held := hub.heldQuery()["spare"]
 	must.False(t, held)
-	alone := NewHub(map[string]Table{"t": {Apply: ignore}, "spare": {Apply: ignore, MayLag: true, Spare: true}})
-	set(alone, now, "t", watch.Rows{}, 5, now)
-	must.False(t, alone.Word(now).Known) // who reads the store itself waits for all tables
-	set(alone, now, "spare", watch.Rows{}, 6, now)
-	must.True(t, alone.Word(now).Known)
-	_, _, known := hub.Held("spare")
+	reader := NewHub(map[string]Table{"t": {Apply: ignore}, "spare": {Apply: ignore, MayLag: true, Optional: true}})
+	setConfirmed(reader, now, "t", watch.Rows{}, 5, now)
+	must.False(t, reader.Status(now).Known) // a node that reads the store itself waits for all tables
+	setConfirmed(reader, now, "spare", watch.Rows{}, 6, now)
+	must.True(t, reader.Status(now).Known)
+	_, _, known := hub.Snapshot("spare")
 	must.False(t, known)
 }
 
-// TestMessagesGoToThoseWhoTakeThem has two members, of which one's build does not take messages of limits.
-func TestMessagesGoToThoseWhoTakeThem(t *testing.T) {
+// TestLimitsAreSentOnlyToSupportingBuilds sends messages about rate limits to two members, one of which runs a build that does not support them.
+func TestLimitsAreSentOnlyToSupportingBuilds(t *testing.T) {
 	listen := func() net.PacketConn {
 		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	}
-	own, takes, earlier := listen(), listen(), listen()
-	n := bareNode()
+	own, supporting, earlier := listen(), listen(), listen()
+	n := idleNode()
 	n.datagrams.Store(&own)
 	n.SetMembers([]feed.Member{
-		{VM: "takes", Address: takes.LocalAddr().String(), Speaks: feed.DialectLimits}, {VM: "earlier", Address: earlier.LocalAddr().String()},
+		{VM: "takes", Address: supporting.LocalAddr().String(), Speaks: feed.DialectLimits}, {VM: "earlier", Address: earlier.LocalAddr().String()},
 	})
 	for _, vm := range []vaneyoke.VMID{"takes", "earlier", "unknown"} {
 		n.SendLimits(vm, ratelimits.Message{By: "self"})
 	}
-	buffer := make([]byte, maxOfferBytes)
-	must.NoError(t, takes.SetReadDeadline(time.Now().Add(20*time.Second)))
-	size, _, err := takes.ReadFrom(buffer)
+	buffer := make([]byte, maxReceivedBytes)
+	must.NoError(t, supporting.SetReadDeadline(time.Now().Add(20*time.Second)))
+	size, _, err := supporting.ReadFrom(buffer)
 	must.NoError(t, err)
-	must.Less(t, firstUnmarked, buffer[0])
+	must.Less(t, firstTextByte, buffer[0])
 	var got []ratelimits.Message
 	n.OnLimits(func(m ratelimits.Message) { got = append(got, m) })
-	n.takeMarked(buffer[:size])
+	n.handleTyped(buffer[:size])
 	must.Eq(t, []ratelimits.Message{{By: "self"}}, got)
 	must.NoError(t, earlier.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, _, err = earlier.ReadFrom(buffer)
 	must.Error(t, err)
 }
 
-// TestSightingsGoToThoseWhoBearThem has a neighbour whose build does not tell what it understands: it is told of upstreams, and not of what requests did.
-func TestSightingsGoToThoseWhoBearThem(t *testing.T) {
+// TestContentSightingsAreSentOnlyToSupportingBuilds checks that a neighbour whose build states no protocol version receives sightings of upstreams, but none about requests.
+func TestContentSightingsAreSentOnlyToSupportingBuilds(t *testing.T) {
 	own, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = own.Close() })
-	for speaks, want := range map[feed.Dialect]string{feed.DialectFirst: "lost", feed.DialectOwn: "lost crash survived"} {
+	for protocol, want := range map[feed.Dialect]string{feed.DialectFirst: "lost", feed.DialectOwn: "lost crash survived"} {
 		to, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = to.Close() })
-		n := bareNode()
+		n := idleNode()
 		n.datagrams.Store(&own)
-		n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Speaks: feed.DialectOwn}}) // the row may be of a later build
-		defer n.neighbours.met("to", speaks)()
-		n.tellSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindCrash}}}) // not even an empty one, to the first
-		n.tellSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindLost}, {Kind: gossip.KindCrash}, {Kind: gossip.KindSurvived}}})
-		buffer := make([]byte, maxOfferBytes)
+		n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Speaks: feed.DialectOwn}}) // the row may have been written by a later build
+		defer n.neighbours.connected("to", protocol)()
+		n.sendSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindCrash}}}) // the first build gets no datagram at all, not even an empty one
+		n.sendSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindLost}, {Kind: gossip.KindCrash}, {Kind: gossip.KindSurvived}}})
+		buffer := make([]byte, maxReceivedBytes)
 		must.NoError(t, to.SetReadDeadline(time.Now().Add(20*time.Second)))
 		size, _, err := to.ReadFrom(buffer)
 		must.NoError(t, err)
-		if speaks != feed.DialectFirst {
+		if protocol != feed.DialectFirst {
 			size, _, err = to.ReadFrom(buffer)
 			must.NoError(t, err)
 		}
@@ -113,14 +113,14 @@
 	}
 }
 
-// TestDatagramsThatNobodyKnows are passed over.
-func TestDatagramsThatNobodyKnows(t *testing.T) {
-	n := bareNode()
-	taken := 0
-	n.OnLimits(func(ratelimits.Message) { taken++ })
+// TestUnknownDatagramsAreIgnored checks datagrams of unknown types and with invalid contents.
+func TestUnknownDatagramsAreIgnored(t *testing.T) {
+	n := idleNode()
+	handled := 0
+	n.OnLimits(func(ratelimits.Message) { handled++ })
 	for _, data := range []string{"\x01", "\x01{", "\x01[]", "\x02{}", "\x1f", "\x00"} {
-		n.takeMarked([]byte(data))
+		n.handleTyped([]byte(data))
 	}
-	must.Zero(t, taken)
+	must.Zero(t, handled)
 	must.EqOp(t, "6", n.metrics.counts.Get("passed_over_total").String())
 }
--- a/shell/mesh/doc.go
+++ b/shell/mesh/doc.go
@@ -1,2 +1,2 @@
-// Package mesh lets a few nodes of each data centre read the store and tell the others what its tables hold.
+// Package mesh replicates the store's tables between nodes: a few nodes of each data centre read the store, and the others follow them.
 package mesh
--- a/shell/mesh/first_start_test.go
+++ b/shell/mesh/first_start_test.go
@@ -8,10 +8,12 @@
 	"github.com/vaneyoke/vaneyoke/shell/mesh"
 )
 
-// TestFirstStartLeavesTimeForTheFirstLook holds that a store which takes as long as it may at any other start does not have all nodes read all tables at the first one.
-func TestFirstStartLeavesTimeForTheFirstLook(t *testing.T) {
+// TestFirstStartWaitIncludesMembersReadDelay checks that a node waits longer before it reads all tables at the first start of the system, by the
+// delay of its first read of the members. Otherwise a store that is slow, but fast enough for any other start, would make all nodes read
+// all tables.
+func TestFirstStartWaitIncludesMembersReadDelay(t *testing.T) {
 	usual := mesh.DefaultConfig()
 	first := usual.AtFirstStart()
 	must.True(t, first.FirstStart)
-	must.EqOp(t, usual.Feed.First, first.Feed.First-first.FirstLook)
+	must.EqOp(t, usual.Feed.First, first.Feed.First-first.MembersReadDelay)
 }
--- a/shell/mesh/follow.go
+++ b/shell/mesh/follow.go
@@ -17,36 +17,36 @@
 	"github.com/vaneyoke/vaneyoke/internal/steady"
 )
 
-// followerKey names in a query the VM of the node that follows.
-const followerKey = "vm"
+// followerParam is the query parameter with the VM of the follower.
+const followerParam = "vm"
 
-var errStalled = errors.New("no word in time")
+var errPeerTimeout = errors.New("no frame received in time")
 
-// followUntilLost takes in what a member tells until it is lost or ctx ends.
+// followUntilLost applies the updates of a member until the connection is lost or ctx is done.
 func (n *Node) followUntilLost(ctx context.Context, m feed.Member) {
-	relied, err := n.follow(ctx, m)
+	wasFresh, err := n.follow(ctx, m)
 	if ctx.Err() != nil {
 		return
 	}
-	n.log.WithFields(logrus.Fields{"peer": m.VM, "relied": relied, "error": err}).Info("peer_lost")
+	n.log.WithFields(logrus.Fields{"peer": m.VM, "relied": wasFresh, "error": err}).Info("peer_lost")
 	n.post(ctx, feed.Lost{From: m.VM})
 }
 
-// follow takes in what a member tells; relied says whether its tables ever were not old.
-func (n *Node) follow(ctx context.Context, m feed.Member) (relied bool, err error) {
+// follow applies the updates of a member; wasFresh reports whether its tables were fresh at any time.
+func (n *Node) follow(ctx context.Context, m feed.Member) (wasFresh bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := time.AfterFunc(n.config.Stall, func() { cancel(errStalled) })
-	defer stall.Stop()
-	query := n.hub.held()
-	query.Set(followerKey, string(n.self.VM))
-	res, err := n.get(ctx, m, Path+"?"+query.Encode())
+	timeout := time.AfterFunc(n.config.PeerTimeout, func() { cancel(errPeerTimeout) })
+	defer timeout.Stop()
+	query := n.hub.heldQuery()
+	query.Set(followerParam, string(n.self.VM))
+	res, err := n.get(ctx, m, TablesPath+"?"+query.Encode())
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	defer n.neighbours.met(m.VM, dialectOf(res.Header))()
-	return n.takeFrames(ctx, m, bufio.NewReader(res.Body), stall)
+	defer n.neighbours.connected(m.VM, protocolOf(res.Header))()
+	return n.readFrames(ctx, m, bufio.NewReader(res.Body), timeout)
 }
 
 func (n *Node) get(ctx context.Context, m feed.Member, path string) (*http.Response, error) {
@@ -54,60 +54,60 @@
 	if err != nil {
 		return nil, err
 	}
-	setDialect(req.Header)
+	setProtocol(req.Header)
 	res, err := n.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
 		_ = res.Body.Close()
-		return nil, fmt.Errorf("status %d", res.StatusCode)
+		return nil, fmt.Errorf("unexpected HTTP status %d", res.StatusCode)
 	}
 	return res, nil
 }
 
-func (n *Node) takeFrames(ctx context.Context, m feed.Member, r io.Reader, stall *time.Timer) (relied bool, err error) {
+func (n *Node) readFrames(ctx context.Context, m feed.Member, r io.Reader, timeout *time.Timer) (wasFresh bool, err error) {
 	for {
 		p, err := readPacket(r)
 		if err != nil {
-			return relied, err
+			return wasFresh, err
 		}
 		f, err := p.unpack()
 		if err != nil {
-			return relied, err
+			return wasFresh, err
 		}
-		n.metrics.took(len(p))
-		n.hub.take(steady.Now(), f, p)
-		stall.Reset(n.config.Stall)
-		if f.Beat == nil {
+		n.metrics.countReceived(len(p))
+		n.hub.applyFrame(steady.Now(), f, p)
+		timeout.Reset(n.config.PeerTimeout)
+		if f.Status == nil {
 			continue
 		}
-		relied = relied || f.Beat.Known && f.Beat.word().Age <= n.config.Feed.OldAge
-		n.post(ctx, feed.Told{From: m.VM, Word: f.Beat.word()})
+		wasFresh = wasFresh || f.Status.Complete && f.Status.decode().Age <= n.config.Feed.OldAge
+		n.post(ctx, feed.Told{From: m.VM, Word: f.Status.decode()})
 	}
 }
 
-// ask asks a member how old its tables are.
-func (n *Node) ask(ctx context.Context, m feed.Member) {
-	n.metrics.asked()
-	ctx, cancel := context.WithTimeout(ctx, n.config.Stall)
+// queryStatus asks a member for the status of its tables.
+func (n *Node) queryStatus(ctx context.Context, m feed.Member) {
+	n.metrics.countQuery()
+	ctx, cancel := context.WithTimeout(ctx, n.config.PeerTimeout)
 	defer cancel()
-	b, err := n.askAge(ctx, m)
-	n.log.WithFields(logrus.Fields{"peer": m.VM, "age_ms": b.AgeMs, "known": b.Known, "reader": b.Reader, "error": err}).Info("peer_asked")
+	status, err := n.requestStatus(ctx, m)
+	n.log.WithFields(logrus.Fields{"peer": m.VM, "age_ms": status.AgeMs, "known": status.Complete, "reader": status.Reader, "error": err}).Info("peer_asked")
 	if err == nil {
-		n.post(ctx, feed.Answered{From: m, Word: b.word()})
+		n.post(ctx, feed.Answered{From: m, Word: status.decode()})
 	}
 }
 
-func (n *Node) askAge(ctx context.Context, m feed.Member) (b beat, err error) {
+func (n *Node) requestStatus(ctx context.Context, m feed.Member) (status tableStatus, err error) {
 	res, err := n.get(ctx, m, AgePath)
 	if err != nil {
-		return b, err
+		return status, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	err = json.NewDecoder(io.LimitReader(res.Body, maxOfferBytes)).Decode(&b)
-	return b, err
+	err = json.NewDecoder(io.LimitReader(res.Body, maxReceivedBytes)).Decode(&status)
+	return status, err
 }
 
-// followerOf returns the VM of the node that follows, which older nodes do not name.
-func followerOf(query url.Values) string { return query.Get(followerKey) }
+// followerOf returns the VM of the follower; older builds do not send it.
+func followerOf(query url.Values) string { return query.Get(followerParam) }
--- a/shell/mesh/frame.go
+++ b/shell/mesh/frame.go
@@ -14,62 +14,62 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// frame is one message of a node to another: what has changed in its tables, or how old they are.
+// frame is one message from a node to a follower: the changes of its tables, their status, or both.
 type frame struct {
-	Beat   *beat         `json:"beat,omitempty"`
+	Status *tableStatus  `json:"beat,omitempty"`
 	Tables []tableUpdate `json:"tables,omitempty"`
 }
 
-// beat tells how old a node's tables are.
-type beat struct {
-	AgeMs  int64         `json:"age_ms"`
-	Known  bool          `json:"known"`            // whether the node holds all tables
-	Reader vaneyoke.VMID `json:"reader,omitempty"` // the node that the store confirmed them to
+// tableStatus is the encoded form of a node's status of its tables.
+type tableStatus struct {
+	AgeMs    int64         `json:"age_ms"`
+	Complete bool          `json:"known"`            // whether the node has all tables
+	Reader   vaneyoke.VMID `json:"reader,omitempty"` // the node to which the store confirmed them
 }
 
-// beatOf returns the beat that says a word.
-func beatOf(w feed.Word) beat {
-	return beat{AgeMs: w.Age.Milliseconds(), Known: w.Known, Reader: w.Reader}
+// newTableStatus returns the encoded form of a status.
+func newTableStatus(status feed.Word) tableStatus {
+	return tableStatus{AgeMs: status.Age.Milliseconds(), Complete: status.Known, Reader: status.Reader}
 }
 
-// longestAge is the longest age that a beat tells.
-const longestAge = 24 * time.Hour
+// maxAge caps the age in a status received from another node.
+const maxAge = 24 * time.Hour
 
-// word returns what a beat says, as far as it can be true.
-func (b beat) word() feed.Word {
-	age := min(max(b.AgeMs, 0), longestAge.Milliseconds())
-	return feed.Word{Age: time.Duration(age) * time.Millisecond, Known: b.Known, Reader: b.Reader}
+// decode returns the status with its age limited to the range from 0 to maxAge.
+func (s tableStatus) decode() feed.Word {
+	age := min(max(s.AgeMs, 0), maxAge.Milliseconds())
+	return feed.Word{Age: time.Duration(age) * time.Millisecond, Known: s.Complete, Reader: s.Reader}
 }
 
-// tableUpdate leads from an earlier version of a table to a later one.
+// tableUpdate is the delta from an earlier version of a table to a later one.
 type tableUpdate struct {
 	Name    string        `json:"name"`
 	Version watch.Version `json:"version"`
 	Rows    []rowUpdate   `json:"rows,omitempty"`
-	// Gone are the keys of the rows that went since the earlier version, where Keys does not tell all that are left.
-	Gone []string `json:"gone,omitempty"`
-	// Keys are those of all rows as of the version; nil where it is known which rows went.
+	// Removed lists the keys of the rows removed since the earlier version; it is used only if Keys is nil.
+	Removed []string `json:"gone,omitempty"`
+	// Keys lists the keys of all rows of the later version; nil if the sender knows which rows were removed.
 	Keys []string `json:"keys"`
 }
 
-// rowUpdate is a row that was written; the rows of these tables are JSON, and one that is not can be read by nobody.
+// rowUpdate is a row that was written. Rows must be JSON; no node could decode another one.
 type rowUpdate struct {
 	Key     string          `json:"key"`
 	Data    json.RawMessage `json:"data"`
 	Version watch.Version   `json:"version"`
 }
 
-// told is what another node holds of each table.
-type told map[string]hold
+// heldVersions are the versions of the tables that another node holds, by table name.
+type heldVersions map[string]heldVersion
 
-// hold is how far a node holds a table.
-type hold struct {
-	version watch.Version
-	edition int // among those of the version; 0 for the first
+// heldVersion identifies the contents of a table.
+type heldVersion struct {
+	version    watch.Version
+	subversion int // counts the changes within the same version; 0 for its first contents
 }
 
-// held returns the query by which a node tells another what it holds.
-func (h *Hub) held() url.Values {
+// heldQuery encodes the versions that the hub holds as URL query parameters.
+func (h *Hub) heldQuery() url.Values {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	query := url.Values{}
@@ -81,89 +81,89 @@
 	return query
 }
 
-// toldOf reads what the other side holds.
-func toldOf(query url.Values) told {
-	before := told{}
+// parseHeldVersions decodes the versions that the other node holds.
+func parseHeldVersions(query url.Values) heldVersions {
+	held := heldVersions{}
 	for name := range query {
 		if version, err := strconv.ParseUint(query.Get(name), 10, 64); err == nil {
-			before[name] = hold{version: watch.Version(version)}
+			held[name] = heldVersion{version: watch.Version(version)}
 		}
 	}
-	return before
+	return held
 }
 
-// next returns the packet that leads from what was told to the hub's tables, nil where nothing changed, how old the
-// tables are, and a channel that is closed at the next change. Nodes that were told the same get one packet.
-func (h *Hub) next(now time.Time, before told) (packet, beat, <-chan struct{}, error) {
+// nextUpdate returns the packet with the changes since the held versions (nil if there are none), the status of the tables, and a channel
+// that is closed at the next change. It sets held to the hub's versions. Followers that hold the same versions share one packet.
+func (h *Hub) nextUpdate(now time.Time, held heldVersions) (packet, tableStatus, <-chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b := beatOf(h.wordLocked(now))
-	key := h.behind(before)
+	status := newTableStatus(h.statusLocked(now))
+	key := h.packetKey(held)
 	if key == "" {
-		return nil, b, h.changed, nil
+		return nil, status, h.changed, nil
 	}
 	p, ok := h.packets[key]
 	if !ok {
 		var err error
-		if p, err = pack(frame{Tables: h.updates(before)}); err != nil {
-			return nil, b, h.changed, err
+		if p, err = pack(frame{Tables: h.updatesFor(held)}); err != nil {
+			return nil, status, h.changed, err
 		}
 		h.packets[key] = p
 	}
 	for name, t := range h.tables {
-		if t.rows != nil && t.version >= before[name].version {
-			before[name] = hold{version: t.version, edition: t.edition}
+		if t.rows != nil && t.version >= held[name].version {
+			held[name] = heldVersion{version: t.version, subversion: t.subversion}
 		}
 	}
-	return p, b, h.changed, nil
+	return p, status, h.changed, nil
 }
 
-// behind names what has to be told to a node that holds some versions, "" for nothing.
-func (h *Hub) behind(before told) string {
+// packetKey returns the cache key of the packet for a node with the held versions, "" if that node is up to date.
+func (h *Hub) packetKey(held heldVersions) string {
 	var key strings.Builder
 	for _, name := range h.names {
-		if had, ok := before[name]; h.tables[name].newer(had, ok) {
-			fmt.Fprintf(&key, "%s:%d:%d:%t ", name, had.version, had.edition, ok)
+		if base, ok := held[name]; h.tables[name].hasUpdate(base, ok) {
+			fmt.Fprintf(&key, "%s:%d:%d:%t ", name, base.version, base.subversion, ok)
 		}
 	}
 	return key.String()
 }
 
-// updates returns what a node that holds some versions lacks.
-func (h *Hub) updates(before told) []tableUpdate {
+// updatesFor returns the updates for a node with the held versions.
+func (h *Hub) updatesFor(held heldVersions) []tableUpdate {
 	var updates []tableUpdate
 	for _, name := range h.names {
-		if had, ok := before[name]; h.tables[name].newer(had, ok) {
-			updates = append(updates, h.tables[name].since(name, had))
+		if base, ok := held[name]; h.tables[name].hasUpdate(base, ok) {
+			updates = append(updates, h.tables[name].updateFrom(name, base))
 		}
 	}
 	return updates
 }
 
-// newer reports whether the table holds other rows than a node that holds it so far, or nothing of it.
-func (t *table) newer(had hold, ok bool) bool {
-	return t.rows != nil && (!ok || had.version < t.changed || t.otherEdition(had))
+// hasUpdate reports whether the table differs from the base version that a node holds; ok is false if it holds none.
+func (t *table) hasUpdate(base heldVersion, ok bool) bool {
+	return t.rows != nil && (!ok || base.version < t.changed || t.subversionDiffers(base))
 }
 
-// otherEdition reports whether a node holds other rows of the version at which the table changed last.
-func (t *table) otherEdition(had hold) bool {
-	return had.version == t.changed && had.edition != t.edition
+// subversionDiffers reports whether a node holds the version of the table's last change with different rows.
+func (t *table) subversionDiffers(base heldVersion) bool {
+	return base.version == t.changed && base.subversion != t.subversion
 }
 
-// since returns the update from what another node holds; a node that holds a later version gets nothing new.
-func (t *table) since(name string, before hold) tableUpdate {
+// updateFrom returns the delta from a base version. For a base later than the table it has no rows.
+func (t *table) updateFrom(name string, base heldVersion) tableUpdate {
 	update := tableUpdate{Name: name, Version: t.version}
-	had := before.version
-	if t.otherEdition(before) && had > 0 {
-		had--
+	baseVersion := base.version
+	if t.subversionDiffers(base) && baseVersion > 0 {
+		baseVersion--
 	}
 	for key, row := range t.rows {
-		if row.Version > had && json.Valid(row.Data) {
+		if row.Version > baseVersion && json.Valid(row.Data) {
 			update.Rows = append(update.Rows, rowUpdate{Key: key, Data: row.Data, Version: row.Version})
 		}
 	}
-	if !t.otherEdition(before) && t.removals.known(had) {
-		update.Gone = t.removals.after(had)
+	if !t.subversionDiffers(base) && t.removals.covers(baseVersion) {
+		update.Removed = t.removals.removedSince(baseVersion)
 		return update
 	}
 	update.Keys = make([]string, 0, len(t.rows))
@@ -173,49 +173,49 @@
 	return update
 }
 
-// take takes in a frame of another node, and the packet that it came in. Nodes that follow this one and hold what it held lack
-// what the packet says, and are told by the same one.
-func (h *Hub) take(now time.Time, f frame, p packet) {
+// applyFrame applies a frame from another node. The packet that contained the frame is cached: followers that hold the versions which
+// this node held before need the same changes, and receive the same packet.
+func (h *Hub) applyFrame(now time.Time, f frame, p packet) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before, news := h.holds(), false
+	before, changed := h.heldVersions(), false
 	for _, update := range f.Tables {
-		news = h.set(now, update.Name, h.updated(update), update.Version) || news // the next beat says as of when
+		changed = h.set(now, update.Name, h.mergedRows(update), update.Version) || changed // the next status carries the time of the confirmation
 	}
-	if news && len(p) > 0 {
-		h.packets[h.behind(before)] = p
+	if changed && len(p) > 0 {
+		h.packets[h.packetKey(before)] = p
 	}
-	if news {
-		h.wake()
+	if changed {
+		h.notify()
 	}
-	if f.Beat != nil && f.Beat.Known {
+	if f.Status != nil && f.Status.Complete {
 		for _, t := range h.tables {
-			t.lacking = t.Spare && t.rows == nil // what it holds was told before
+			t.missingAtSource = t.Optional && t.rows == nil // the source sends all tables it has before this status
 		}
-		h.confirmAll(now.Add(-f.Beat.word().Age), f.Beat.Reader)
+		h.confirmAll(now.Add(-f.Status.decode().Age), f.Status.Reader)
 	}
 }
 
-// holds returns how far the hub holds its tables.
-func (h *Hub) holds() told {
-	holds := told{}
+// heldVersions returns the versions that the hub holds.
+func (h *Hub) heldVersions() heldVersions {
+	held := heldVersions{}
 	for name, t := range h.tables {
 		if t.rows != nil {
-			holds[name] = hold{version: t.version, edition: t.edition}
+			held[name] = heldVersion{version: t.version, subversion: t.subversion}
 		}
 	}
-	return holds
+	return held
 }
 
-// updated returns a table's rows after an update.
-func (h *Hub) updated(update tableUpdate) watch.Rows {
+// mergedRows returns a table's rows with an update applied.
+func (h *Hub) mergedRows(update tableUpdate) watch.Rows {
 	rows := watch.Rows{}
 	t := h.tables[update.Name]
 	switch {
 	case t == nil:
 	case update.Keys == nil:
 		maps.Copy(rows, t.rows)
-		for _, key := range update.Gone {
+		for _, key := range update.Removed {
 			delete(rows, key)
 		}
 	default:
--- a/shell/mesh/gossip.go
+++ b/shell/mesh/gossip.go
@@ -13,50 +13,50 @@
 	"github.com/vaneyoke/vaneyoke/decide/gossip"
 )
 
-// Gossip has nodes tell one another of upstreams that fail, by datagrams along the tree; one that is lost on the way is told
-// by the next node that fails there.
+// Gossip spreads sightings of failing upstreams between nodes, by datagrams along the edges of the tree. A lost datagram is not sent
+// again; the next node that fails at the upstream sends a new sighting.
 type Gossip struct {
-	node    *Node
-	believe func(gossip.Sighting)
+	node  *Node
+	apply func(gossip.Sighting)
 
 	mu    sync.Mutex
 	state *gossip.State
 	timer *time.Timer
 }
 
-// sightings is a datagram by which a node tells another of upstreams.
+// sightings is a datagram with sightings of upstreams.
 type sightings struct {
 	By  vaneyoke.VMID     `json:"by"`
 	All []gossip.Sighting `json:"sightings"`
 }
 
-// NewGossip returns a node's gossip, which takes part as soon as the node runs; believe takes in what other nodes saw.
-func NewGossip(node *Node, believe func(gossip.Sighting)) *Gossip {
-	g := &Gossip{node: node, believe: believe, state: gossip.New(node.self.VM, uint64(time.Now().UnixMilli()))}
+// NewGossip returns the gossip of a node, which is active as soon as the node runs; apply receives the sightings of other nodes.
+func NewGossip(node *Node, apply func(gossip.Sighting)) *Gossip {
+	g := &Gossip{node: node, apply: apply, state: gossip.New(node.self.VM, uint64(time.Now().UnixMilli()))}
 	g.timer = time.AfterFunc(time.Hour, func() { g.handle(gossip.Tick{}) })
 	g.timer.Stop()
 	node.gossip.Store(g)
 	return g
 }
 
-// Seen tells the others what this node saw of an upstream.
+// Seen sends the other nodes what this node observed of an upstream.
 func (g *Gossip) Seen(upstream vaneyoke.UpstreamID, kind gossip.Kind) {
 	g.handle(gossip.Seen{Upstream: upstream, Kind: kind})
 }
 
-// SeenRun tells the others what a request did to an upstream.
+// SeenRun sends the other nodes what effect a request had on an upstream.
 func (g *Gossip) SeenRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run) {
 	g.handle(gossip.Seen{Upstream: upstream, Kind: kind, Run: run})
 }
 
 func (g *Gossip) handle(event gossip.Event) {
-	var believed []gossip.Sighting
+	var applied []gossip.Sighting
 	var sends []gossip.Send
 	g.mu.Lock()
 	for _, effect := range g.state.Handle(time.Now(), event) {
 		switch e := effect.(type) {
 		case gossip.Believe:
-			believed = append(believed, e.Sighting)
+			applied = append(applied, e.Sighting)
 		case gossip.Send:
 			sends = append(sends, e)
 		}
@@ -65,20 +65,20 @@
 		g.timer.Reset(time.Until(at))
 	}
 	g.mu.Unlock()
-	for _, s := range believed {
-		g.node.metrics.heard()
+	for _, s := range applied {
+		g.node.metrics.countSightingReceived()
 		if !s.Kind.OfRun() {
-			g.node.logHeard(s)
+			g.node.logSighting(s)
 		}
-		g.believe(s)
+		g.apply(s)
 	}
 	for _, s := range sends {
-		g.node.tellSightings(s)
+		g.node.sendSightings(s)
 	}
 }
 
-// logHeard tells what another node saw; single losses, of which three in a row change something, are many and told at the lowest level.
-func (n *Node) logHeard(s gossip.Sighting) {
+// logSighting logs a sighting of another node. Single lost requests are logged at debug level: they are frequent, and only three in a row have an effect.
+func (n *Node) logSighting(s gossip.Sighting) {
 	fields := logrus.Fields{"upstream": s.Upstream, "kind": s.Kind.String(), "peer": s.Origin, "hops": s.Hops}
 	if s.Kind == gossip.KindLost {
 		n.log.WithFields(fields).Debug("upstream_heard")
@@ -87,23 +87,23 @@
 	n.log.WithFields(fields).Info("upstream_heard")
 }
 
-// tellSightings tells a neighbour. One whose build does not tell what it understands may be of the first that had gossip, which ends
-// where it hears of what requests did.
-func (n *Node) tellSightings(s gossip.Send) {
+// sendSightings sends sightings to a neighbour. A neighbour whose build states no protocol version may be the first build with gossip, which
+// exits when it receives sightings about requests; it is sent only the others.
+func (n *Node) sendSightings(s gossip.Send) {
 	to, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == s.To })
 	if !ok {
 		return
 	}
-	bears := n.neighbours.dialect(s.To) >= feed.DialectLimits
-	told := lo.Filter(s.Sightings, func(s gossip.Sighting, _ int) bool { return bears || !s.Kind.OfRun() })
-	if len(told) == 0 {
+	supportsContent := n.neighbours.protocol(s.To) >= feed.DialectLimits
+	sent := lo.Filter(s.Sightings, func(s gossip.Sighting, _ int) bool { return supportsContent || !s.Kind.OfRun() })
+	if len(sent) == 0 {
 		return
 	}
-	n.metrics.sighted(sendInParts(n, to, unmarked, told, func(part []gossip.Sighting) any { return sightings{By: n.self.VM, All: part} }))
+	n.metrics.countSightingsSent(sendInParts(n, to, typeNone, sent, func(part []gossip.Sighting) any { return sightings{By: n.self.VM, All: part} }))
 }
 
-// takeSightings takes in a datagram, and reports whether it is one of sightings.
-func (n *Node) takeSightings(data []byte) bool {
+// handleSightings handles a datagram of sightings, and reports whether it is one.
+func (n *Node) handleSightings(data []byte) bool {
 	var s sightings
 	g := n.gossip.Load()
 	if json.Unmarshal(data, &s) != nil || len(s.All) == 0 {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// setNeighbours takes in whom the node follows and who follows it.
+// setNeighbours passes on the source and the followers of this node.
 func (n *Node) setNeighbours(state *feed.State) {
 	neighbours := state.FollowerVMs()
 	if source, ok := state.Source(); ok {
@@ -124,7 +124,7 @@
 	if g := n.gossip.Load(); g != nil {
 		g.handle(gossip.Neighbours{VMs: neighbours})
 	}
-	if n.takeNeighbours != nil {
-		n.takeNeighbours(neighbours)
+	if n.onNeighbours != nil {
+		n.onNeighbours(neighbours)
 	}
 }
--- a/shell/mesh/hub.go
+++ b/shell/mesh/hub.go
@@ -11,40 +11,40 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// newsAge is by how much a confirmation must be newer than the last one for those that follow to be told at once.
-const newsAge = 100 * time.Millisecond
+// minConfirmationAdvance is how much newer than the last confirmation a new one must be for the followers to be notified at once.
+const minConfirmationAdvance = 100 * time.Millisecond
 
-// Hub holds a copy of the store's tables, and when the store last confirmed them.
+// Hub holds a copy of the store's tables and the time at which the store last confirmed them.
 type Hub struct {
 	mu      sync.Mutex
 	tables  map[string]*table
-	names   []string          // of the tables, sorted
+	names   []string          // table names, sorted
 	changed chan struct{}     // closed at the next change
-	packets map[string]packet // that lead to the tables as they are, by what they lead from
-	reader  vaneyoke.VMID     // the node that the store confirmed the tables to last
+	packets map[string]packet // cached updates to the current tables, by packetKey of their base versions
+	reader  vaneyoke.VMID     // the node to which the store last confirmed the tables
 }
 
-// Table is a table of the store that the nodes tell one another.
+// Table is a table of the store that is replicated between the nodes.
 type Table struct {
-	Source watch.Source
-	Apply  func(now time.Time, rows watch.Rows) // takes in the rows after a change; it must not keep or change them
-	MayLag bool                                 // whether the table's age does not count
-	Spare  bool                                 // whether a node that follows one of an earlier build, which does not tell it, goes by the other tables
-	Grace  time.Duration                        // how long rows that lapsed in an outage of the store are kept
+	Source   watch.Source
+	Apply    func(now time.Time, rows watch.Rows) // called with all rows after a change; it must not retain or modify them
+	MayLag   bool                                 // whether the table is ignored for the age of the tables
+	Optional bool                                 // whether a node counts as complete without the table if its source runs an earlier build that does not send it
+	Grace    time.Duration                        // how long rows that expired during an outage of the store are kept
 }
 
 type table struct {
 	Table
-	rows      watch.Rows
-	version   watch.Version // up to which the rows are complete
-	changed   watch.Version // at which they changed last
-	edition   int           // counts the changes without a new version since
-	removals  removals
-	confirmed time.Time // as of which the rows are the store's newest
-	lacking   bool      // whether the node that is followed holds all that it knows of, and not this one
+	rows            watch.Rows
+	version         watch.Version // up to this version the rows are complete
+	changed         watch.Version // version of the last change
+	subversion      int           // counts the changes since then without a new version
+	removals        removals
+	confirmed       time.Time // time at which the rows were the store's latest
+	missingAtSource bool      // whether the source is complete but does not send this table
 }
 
-// NewHub returns a hub of tables that hold nothing yet.
+// NewHub returns a hub of empty tables.
 func NewHub(tables map[string]Table) *Hub {
 	h := &Hub{
 		tables: map[string]*table{}, names: slices.Sorted(maps.Keys(tables)), changed: make(chan struct{}), packets: map[string]packet{},
@@ -55,16 +55,16 @@
 	return h
 }
 
-// Set takes in a table's rows as of a version; an older version than the hub's is left aside. Confirm says when they were the newest.
+// Set updates a table's rows to a version and ignores versions older than the hub's. Confirm records when the rows were the latest.
 func (h *Hub) Set(now time.Time, name string, rows watch.Rows, version watch.Version) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.set(now, name, rows, version) {
-		h.wake()
+		h.notify()
 	}
 }
 
-// set takes in a table's rows and reports whether they are others than before.
+// set updates a table's rows and reports whether they changed.
 func (h *Hub) set(now time.Time, name string, rows watch.Rows, version watch.Version) bool {
 	t := h.tables[name]
 	if t == nil || version < t.version {
@@ -73,13 +73,13 @@
 	advanced := version > t.version
 	t.version = version
 	if t.rows != nil && maps.EqualFunc(t.rows, rows, sameVersion) {
-		t.removals.saw(version)
+		t.removals.addSpan(version)
 		return false
 	}
-	t.removals.note(t.rows, rows, version)
-	t.edition++
+	t.removals.recordChange(t.rows, rows, version)
+	t.subversion++
 	if advanced {
-		t.edition = 0
+		t.subversion = 0
 	}
 	t.rows, t.changed = maps.Clone(rows), version
 	t.Apply(now, t.rows)
@@ -87,7 +87,7 @@
 	return true
 }
 
-// Confirm notes that the store has confirmed a table up to a version to a node.
+// Confirm records that the store has confirmed a table up to a version to the reader.
 func (h *Hub) Confirm(name string, version watch.Version, confirmed time.Time, reader vaneyoke.VMID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,12 +96,12 @@
 		return
 	}
 	t.version = version
-	t.removals.confirmed(version)
+	t.removals.extendSpan(version)
 	h.confirm(confirmed, reader, t)
 }
 
-// Held returns a copy of a table's rows and the version up to which they are complete; ok is false where it holds nothing.
-func (h *Hub) Held(name string) (rows watch.Rows, version watch.Version, ok bool) {
+// Snapshot returns a copy of a table's rows and the version up to which they are complete; ok is false if the hub has no rows of it.
+func (h *Hub) Snapshot(name string) (rows watch.Rows, version watch.Version, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.tables[name]
@@ -111,55 +111,55 @@
 	return maps.Clone(t.rows), t.version, true
 }
 
-// Word returns how long ago the store confirmed the table that was confirmed the longest ago, of those that may not lag; it
-// knows nothing where a table holds nothing yet.
-func (h *Hub) Word(now time.Time) feed.Word {
+// Status returns the status of the tables. Its age is the time since the oldest confirmation among the tables without MayLag. It is empty
+// while the rows of any table are missing.
+func (h *Hub) Status(now time.Time) feed.Word {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.wordLocked(now)
+	return h.statusLocked(now)
 }
 
-func (h *Hub) wordLocked(now time.Time) feed.Word {
-	word := feed.Word{Known: true, Reader: h.reader}
+func (h *Hub) statusLocked(now time.Time) feed.Word {
+	status := feed.Word{Known: true, Reader: h.reader}
 	for _, t := range h.tables {
-		if t.rows == nil && !t.lacking {
+		if t.rows == nil && !t.missingAtSource {
 			return feed.Word{}
 		}
 		if !t.MayLag {
-			word.Age = max(word.Age, now.Sub(t.confirmed))
+			status.Age = max(status.Age, now.Sub(t.confirmed))
 		}
 	}
-	return word
+	return status
 }
 
 func sameVersion(a, b watch.Row) bool { return a.Version == b.Version }
 
-// confirmAll notes that the store has confirmed all tables to a node.
+// confirmAll records that the store has confirmed all tables to the reader.
 func (h *Hub) confirmAll(confirmed time.Time, reader vaneyoke.VMID) {
 	h.confirm(confirmed, reader, slices.Collect(maps.Values(h.tables))...)
 }
 
-// confirm notes as of when tables are the store's newest; where that is news, those that follow are told at once, so that
-// an age grows little from one node to the next.
-func (h *Hub) confirm(at time.Time, reader vaneyoke.VMID, tables ...*table) {
-	news := false
+// confirm records the time at which tables were the store's latest. If it advances enough, the followers are notified at once, so that the
+// age grows little with each hop.
+func (h *Hub) confirm(confirmed time.Time, reader vaneyoke.VMID, tables ...*table) {
+	advanced := false
 	for _, t := range tables {
-		if !at.After(t.confirmed) {
+		if !confirmed.After(t.confirmed) {
 			continue
 		}
 		if !t.MayLag {
-			news = news || at.Sub(t.confirmed) > newsAge
+			advanced = advanced || confirmed.Sub(t.confirmed) > minConfirmationAdvance
 			h.reader = reader
 		}
-		t.confirmed = at
+		t.confirmed = confirmed
 	}
-	if news {
-		h.wake()
+	if advanced {
+		h.notify()
 	}
 }
 
-// wake has those that follow be told.
-func (h *Hub) wake() {
+// notify wakes the goroutines that serve followers.
+func (h *Hub) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
--- a/shell/mesh/node.go
+++ b/shell/mesh/node.go
@@ -21,21 +21,21 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// Path is where a node tells its tables to others, and AgePath where it tells how old they are.
+// TablesPath is the HTTP path at which a node streams its tables to its followers, and AgePath the one at which it reports their age.
 const (
-	Path    = "/tables"
-	AgePath = "/tables/age"
+	TablesPath = "/tables"
+	AgePath    = "/tables/age"
 )
 
-// Registry is where members register themselves.
+// Registry stores the entries of the members.
 type Registry interface {
-	// Put writes a member's entry under its VM's name, over any earlier one.
+	// Put writes a member's entry under the name of its VM, and replaces an earlier one.
 	Put(ctx context.Context, key string, data []byte) error
-	// Remove takes off an entry of a version; it does nothing to a later one.
+	// Remove deletes an entry of the given version; an entry of a later version stays.
 	Remove(ctx context.Context, key string, version watch.Version) error
 }
 
-// Node is this node's part in the mesh.
+// Node keeps this node's tables up to date from the store or another node, and serves them to followers.
 type Node struct {
 	self     feed.Member
 	config   Config
@@ -45,77 +45,77 @@
 	metrics  *Metrics
 	log      logrus.FieldLogger
 
-	settled        atomic.Bool // whether the number of members counts
-	datagrams      atomic.Pointer[net.PacketConn]
-	gossip         atomic.Pointer[Gossip] // nil where there is none
-	neighbours     neighbours
-	takeLimits     func(ratelimits.Message) // nil where limits are not kept
-	takeNeighbours func([]vaneyoke.VMID)    // nil where nobody wants to know them
-	events         chan feed.Event
-	ended          chan struct{} // closed when Run returns
+	settled      atomic.Bool // whether SettleTime has passed, so that the number of members is used
+	datagrams    atomic.Pointer[net.PacketConn]
+	gossip       atomic.Pointer[Gossip] // nil without gossip
+	neighbours   neighbours
+	onLimits     func(ratelimits.Message) // nil if the node handles no rate limits
+	onNeighbours func([]vaneyoke.VMID)    // nil without a listener
+	events       chan feed.Event
+	done         chan struct{} // closed when Run returns
 
-	mu      sync.Mutex
-	members []feed.Member // nil while they are not known
-	known   chan struct{} // closed when they are
-	changed chan struct{} // holds something when members were taken in
+	mu             sync.Mutex
+	members        []feed.Member // nil until first read
+	membersKnown   chan struct{} // closed once members is set
+	membersChanged chan struct{} // signals an update of members
 }
 
-// New returns a node's part in the mesh, which keeps the hub's tables up to date.
+// New returns a node that keeps the hub's tables up to date once it runs.
 func New(self feed.Member, config Config, hub *Hub, registry Registry, client *http.Client, metrics *Metrics, log logrus.FieldLogger) *Node {
 	return &Node{
 		self: self, config: config, hub: hub, registry: registry, client: client, metrics: metrics, log: log,
-		events: make(chan feed.Event), ended: make(chan struct{}), known: make(chan struct{}), changed: make(chan struct{}, 1),
+		events: make(chan feed.Event), done: make(chan struct{}), membersKnown: make(chan struct{}), membersChanged: make(chan struct{}, 1),
 	}
 }
 
-// SetMembers takes in the members as they are registered.
+// SetMembers updates the list of registered members.
 func (n *Node) SetMembers(members []feed.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.members == nil {
-		close(n.known)
+		close(n.membersKnown)
 		members = append([]feed.Member{}, members...)
 	}
 	n.members = members
 	select {
-	case n.changed <- struct{}{}:
+	case n.membersChanged <- struct{}{}:
 	default:
 	}
 }
 
-// ServeMembers tells the members as JSON.
+// ServeMembers writes the members as JSON.
 func (n *Node) ServeMembers(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(n.registeredMembers()) // a reader that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(n.registeredMembers()) // fails only if the client has disconnected
 }
 
-// Members returns how many members there are, this node among them.
+// Members returns the number of members, including this node.
 func (n *Node) Members() int { return max(len(n.registeredMembers()), 1) }
 
-// Registered returns the members as they are registered, nil while they are not known; they must not be changed.
+// Registered returns the registered members, nil until they are known. The caller must not modify them.
 func (n *Node) Registered() []feed.Member { return n.registeredMembers() }
 
-// Above returns the node that this one follows; ok is false where it follows none.
+// Above returns the source of this node, the one that it follows; ok is false if it follows none.
 func (n *Node) Above() (above feed.Member, ok bool) {
-	source := n.metrics.part.Load().Source
+	source := n.metrics.status.Load().Source
 	return lo.Find(n.registeredMembers(), func(m feed.Member) bool { return source != "" && m.VM == source })
 }
 
-// Old reports whether the store has not confirmed the tables for long.
-func (n *Node) Old() bool { return !n.metrics.part.Load().Fresh }
+// Stale reports whether the last confirmation of the tables by the store is too old.
+func (n *Node) Stale() bool { return !n.metrics.status.Load().Fresh }
 
 // Reads reports whether the node reads all tables from the store.
-func (n *Node) Reads() bool { return n.metrics.part.Load().Reading == feed.ReadAll.String() }
+func (n *Node) Reads() bool { return n.metrics.status.Load().Reading == feed.ReadAll.String() }
 
-// Confirms reports whether the node reads all tables from the store, which has confirmed them to it no longer ago than the bound.
+// Confirms reports whether the node reads all tables from the store itself and the last confirmation is not stale.
 func (n *Node) Confirms() bool {
-	part := n.metrics.part.Load()
-	return n.Reads() && part.Fresh && part.Reader == n.self.VM
+	status := n.metrics.status.Load()
+	return n.Reads() && status.Fresh && status.Reader == n.self.VM
 }
 
-// Reader returns another node to which the store has confirmed the tables; ok is false where none is known.
+// Reader returns another node to which the store has confirmed the tables; ok is false if none is known.
 func (n *Node) Reader() (reader feed.Member, ok bool) {
-	vm := n.metrics.part.Load().Reader
+	vm := n.metrics.status.Load().Reader
 	return lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == vm && vm != n.self.VM })
 }
 
@@ -125,46 +125,46 @@
 	return n.members
 }
 
-// Run keeps the hub's tables up to date until ctx ends; it is called once.
+// Run keeps the hub's tables up to date until ctx is done. It must be called only once.
 func (n *Node) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
-	defer close(n.ended)
+	defer close(n.done)
 	r := &runner{
 		Node: n, work: &work, state: feed.New(n.self, n.config.Feed, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		unfollow: func() {}, unread: func() {},
+		cancelFollow: func() {}, cancelRead: func() {},
 	}
 	work.Go(func() { n.listen(ctx) })
 	work.Go(func() {
 		n.registerWhenKnown(ctx)
-		n.tidy(ctx)
+		n.pruneMembers(ctx)
 	})
-	settled := time.AfterFunc(n.config.Settle, func() { n.settled.Store(true) })
-	defer settled.Stop()
+	settleTimer := time.AfterFunc(n.config.SettleTime, func() { n.settled.Store(true) })
+	defer settleTimer.Stop()
 	r.run(ctx)
 }
 
-// post gives the run an event, unless it or ctx ends first.
+// post sends an event to the event loop, unless that or ctx ends first.
 func (n *Node) post(ctx context.Context, event feed.Event) {
 	select {
 	case n.events <- event:
 	case <-ctx.Done():
-	case <-n.ended:
+	case <-n.done:
 	}
 }
 
-// isAlone reports whether there are no other members.
+// isAlone reports whether this node is the only member.
 func (n *Node) isAlone() bool { return n.Members() == 1 }
 
-// runner carries out what the node's state decides.
+// runner is the event loop: it passes events to the state machine and executes the effects that this returns.
 type runner struct {
 	*Node
-	state    *feed.State
-	work     *sync.WaitGroup
-	unfollow context.CancelFunc // ends the following under way
-	unread   context.CancelFunc // ends the reading under way
-	fresh    bool               // whether the tables were not old when it was looked last
-	stood    bool               // whether the node stood among the members when it was looked last
+	state         *feed.State
+	work          *sync.WaitGroup
+	cancelFollow  context.CancelFunc // stops following the current source
+	cancelRead    context.CancelFunc // stops the current reads of the store
+	fresh         bool               // whether the tables were fresh at the last event
+	wasRegistered bool               // whether the node was among the members at their last update
 }
 
 func (r *runner) run(ctx context.Context) {
@@ -179,26 +179,26 @@
 			return
 		case event := <-r.events:
 			r.handle(ctx, event)
-		case <-r.changed:
+		case <-r.membersChanged:
 			r.handle(ctx, feed.Members{All: r.registeredMembers()})
-			r.stayRegistered(ctx)
+			r.reregisterIfRemoved(ctx)
 		case <-timer.C:
 			r.handle(ctx, feed.Tick{})
 		}
 	}
 }
 
-// stayRegistered has a node that was taken off the members, because others could not reach it, register itself again.
-func (r *runner) stayRegistered(ctx context.Context) {
-	stands := r.registered()
-	if r.stood && !stands {
+// reregisterIfRemoved registers the node again after others have removed it from the members because they could not reach it.
+func (r *runner) reregisterIfRemoved(ctx context.Context) {
+	isRegistered := r.registered()
+	if r.wasRegistered && !isRegistered {
 		r.work.Go(func() {
-			if pause.For(ctx, rand.N(r.config.Again)) {
+			if pause.For(ctx, rand.N(r.config.MaxReregisterDelay)) {
 				r.register(ctx)
 			}
 		})
 	}
-	r.stood = stands
+	r.wasRegistered = isRegistered
 }
 
 func (r *runner) handle(ctx context.Context, event feed.Event) {
@@ -207,23 +207,23 @@
 		r.carryOut(ctx, effect)
 	}
 	r.setNeighbours(r.state)
-	r.note(now)
+	r.reportStatus(now)
 }
 
-// note logs when the tables grow old, and when they are fresh again.
-func (r *runner) note(now time.Time) {
+// reportStatus updates the metrics, and logs when the tables become stale or fresh again.
+func (r *runner) reportStatus(now time.Time) {
 	fresh := r.state.Fresh(now)
 	source, _ := r.state.Source()
-	word := r.state.Word(now)
-	r.metrics.takesPart(Part{
+	status := r.state.Word(now)
+	r.metrics.setStatus(NodeStatus{
 		Source: source.VM, Followers: r.state.Followers(), Reading: r.state.Reading().String(), Fresh: fresh,
-		Reader: word.Reader, AgeMs: word.Age.Milliseconds(),
+		Reader: status.Reader, AgeMs: status.Age.Milliseconds(),
 	})
 	if fresh == r.fresh {
 		return
 	}
 	r.fresh = fresh
-	fields := logrus.Fields{"peer": source.VM, "age_ms": word.Age.Milliseconds(), "reader": word.Reader}
+	fields := logrus.Fields{"peer": source.VM, "age_ms": status.Age.Milliseconds(), "reader": status.Reader}
 	if fresh {
 		r.log.WithFields(fields).Info("tables_fresh")
 	} else {
@@ -234,24 +234,24 @@
 func (r *runner) carryOut(ctx context.Context, effect feed.Effect) {
 	switch e := effect.(type) {
 	case feed.Follow:
-		r.unfollow()
-		following, cancel := context.WithCancel(ctx)
-		r.unfollow = cancel
-		r.work.Go(func() { r.followUntilLost(following, e.Member) })
+		r.cancelFollow()
+		followCtx, cancel := context.WithCancel(ctx)
+		r.cancelFollow = cancel
+		r.work.Go(func() { r.followUntilLost(followCtx, e.Member) })
 	case feed.Leave:
-		r.unfollow()
+		r.cancelFollow()
 	case feed.Read:
-		r.unread()
-		reading, cancel := context.WithCancel(ctx)
-		r.unread = cancel
+		r.cancelRead()
+		readCtx, cancel := context.WithCancel(ctx)
+		r.cancelRead = cancel
 		if e.Reading == feed.ReadNothing {
 			r.log.Info("leaves_store")
 		} else {
 			r.log.WithFields(logrus.Fields{"reading": e.Reading.String(), "members": r.Members()}).Info("reads_store")
 		}
-		r.read(reading, e.Reading)
+		r.readStore(readCtx, e.Reading)
 	case feed.Ask:
-		r.work.Go(func() { r.ask(ctx, e.Member) })
+		r.work.Go(func() { r.queryStatus(ctx, e.Member) })
 	case feed.Offer:
 		r.offer(e.To)
 	}
--- a/shell/mesh/node_test.go
+++ b/shell/mesh/node_test.go
@@ -21,34 +21,34 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// source is a store's table whose version tests set; it can be cut off.
-type source struct {
+// fakeStore is a table of a store whose version the tests set, and which can be made unavailable.
+type fakeStore struct {
 	version atomic.Int64
-	cut     atomic.Bool
+	down    atomic.Bool
 	reads   atomic.Int64
 	lists   atomic.Int64
 	writes  atomic.Int64
 }
 
-var errCut = errors.New("cut off")
+var errUnavailable = errors.New("store unavailable")
 
-func (s *source) List(context.Context) (watch.Rows, watch.Version, error) {
+func (s *fakeStore) List(context.Context) (watch.Rows, watch.Version, error) {
 	s.reads.Add(1)
 	s.lists.Add(1)
-	if s.cut.Load() {
-		return nil, 0, errCut
+	if s.down.Load() {
+		return nil, 0, errUnavailable
 	}
 	version := watch.Version(s.version.Load())
 	return watch.Rows{"a": row(fmt.Sprint(version), version)}, version, nil
 }
 
-func (s *source) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
+func (s *fakeStore) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
 	s.reads.Add(1)
 	for end := time.Now().Add(wait); ; {
-		if s.cut.Load() {
-			return nil, 0, errCut
+		if s.down.Load() {
+			return nil, 0, errUnavailable
 		}
 		version := watch.Version(s.version.Load())
 		if version > after {
@@ -61,19 +61,19 @@
 	}
 }
 
-// Put counts; tests set the members themselves.
-func (s *source) Put(context.Context, string, []byte) error {
+// Put counts the writes; tests set the members themselves.
+func (s *fakeStore) Put(context.Context, string, []byte) error {
 	s.writes.Add(1)
 	return nil
 }
 
-// Remove is not used here.
-func (s *source) Remove(context.Context, string, watch.Version) error { return nil }
+// Remove does nothing.
+func (s *fakeStore) Remove(context.Context, string, watch.Version) error { return nil }
 
-// peer is a node of a small mesh with its own way to the store.
+// peer is a node of a small mesh with its own connection to the store.
 type peer struct {
 	*Node
-	store   *source
+	store   *fakeStore
 	version atomic.Int64
 	stop    context.CancelFunc
 	server  *httptest.Server
@@ -85,14 +85,14 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	config := DefaultConfig()
-	config.Settle, config.Feed.First, config.Feed.Lead, config.Feed.Retry = 20*time.Millisecond, 0, 20*time.Millisecond, 100*time.Millisecond
+	config.SettleTime, config.Feed.First, config.Feed.Lead, config.Feed.Retry = 20*time.Millisecond, 0, 20*time.Millisecond, 100*time.Millisecond
 	config.Feed.Return, config.Feed.Offer = 200*time.Millisecond, 50*time.Millisecond
 	config.Reader.Wait, config.Reader.Slack, config.Reader.Gather = 40*time.Millisecond, 40*time.Millisecond, 0
 	change(&config)
 	peers := make([]*peer, count)
 	var all []feed.Member
 	for i := range peers {
-		p := &peer{store: &source{}}
+		p := &peer{store: &fakeStore{}}
 		p.store.version.Store(1)
 		hub := NewHub(map[string]Table{"t": {Source: p.store, Apply: func(_ time.Time, rows watch.Rows) { p.version.Store(int64(rows["a"].Version)) }}})
 		self := feed.Member{VM: vaneyoke.VMID(fmt.Sprint("vm-", i)), DataCentre: "a"}
@@ -113,31 +113,31 @@
 		}()
 		p.stop = stop
 		t.Cleanup(func() {
-			p.end()
+			p.kill()
 			<-done
 		})
 	}
 	return peers
 }
 
-// end ends a peer as the death of its process would. Nobody can connect any more when its connections are closed: whoever did in
-// between would be told on for good, and the server would wait for that.
-func (p *peer) end() {
+// kill stops a peer like a crash of its process. It closes the listener before the connections: a follower that connected in between would be
+// served forever, and the server's Close would wait for it.
+func (p *peer) kill() {
 	p.stop()
 	_ = p.server.Listener.Close()
 	p.server.CloseClientConnections()
 	p.server.Close()
 }
 
-func until(t *testing.T, done func() bool) {
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for start := time.Now(); !done(); time.Sleep(time.Millisecond) {
-		must.Less(t, patient, time.Since(start))
+		must.Less(t, testTimeout, time.Since(start))
 	}
 }
 
-// reads returns how often each peer called the store while it made some calls in all.
-func reads(peers []*peer, during func()) []int64 {
+// storeCallsDuring returns the number of calls that each peer made to the store while the function ran.
+func storeCallsDuring(peers []*peer, during func()) []int64 {
 	counts := make([]int64, len(peers))
 	for i, p := range peers {
 		counts[i] = -p.store.reads.Load()
@@ -149,7 +149,7 @@
 	return counts
 }
 
-func readers(counts []int64) int {
+func countReaders(counts []int64) int {
 	n := 0
 	for _, c := range counts {
 		if c > 0 {
@@ -159,7 +159,7 @@
 	return n
 }
 
-func allAt(peers []*peer, version int64) func() bool {
+func allAtVersion(peers []*peer, version int64) func() bool {
 	return func() bool {
 		for _, p := range peers {
 			if p.version.Load() != version {
@@ -170,46 +170,46 @@
 	}
 }
 
-func setAll(peers []*peer, version int64) {
+func setVersion(peers []*peer, version int64) {
 	for _, p := range peers {
 		p.store.version.Store(version)
 	}
 }
 
-// TestOneReaderTellsAll counts who reads the store, and loses the reader by each way that there is.
-func TestOneReaderTellsAll(t *testing.T) {
+// TestOneReaderServesAll checks that only one node reads the store, also after the reader loses the store and after it crashes.
+func TestOneReaderServesAll(t *testing.T) {
 	peers := startMesh(t, 5)
-	until(t, allAt(peers, 1))
+	waitUntil(t, allAtVersion(peers, 1))
 	settled := func() bool {
-		return readers(reads(peers, func() { time.Sleep(100 * time.Millisecond) })) == 1
+		return countReaders(storeCallsDuring(peers, func() { time.Sleep(100 * time.Millisecond) })) == 1
 	}
-	until(t, settled)
-	setAll(peers, 2)
-	until(t, allAt(peers, 2))
+	waitUntil(t, settled)
+	setVersion(peers, 2)
+	waitUntil(t, allAtVersion(peers, 2))
 
-	// The reader loses its way to the store: its tables grow old, and another one reads for the rest.
-	reader := readerOf(peers)
-	reader.store.cut.Store(true)
+	// The reader loses the store: its tables become stale, and another node reads for the rest.
+	reader := highestRanked(peers)
+	reader.store.down.Store(true)
 	rest := without(peers, reader)
-	until(t, func() bool {
-		setAll(peers, 3)
-		return allAt(rest, 3)()
+	waitUntil(t, func() bool {
+		setVersion(peers, 3)
+		return allAtVersion(rest, 3)()
 	})
-	reader.store.cut.Store(false)
-	setAll(peers, 4)
-	until(t, allAt(peers, 4))
-	until(t, settled)
+	reader.store.down.Store(false)
+	setVersion(peers, 4)
+	waitUntil(t, allAtVersion(peers, 4))
+	waitUntil(t, settled)
 
-	// The reader dies: the next in rank takes its place.
-	reader = readerOf(peers)
-	reader.end()
+	// The reader crashes: the next in rank replaces it.
+	reader = highestRanked(peers)
+	reader.kill()
 	rest = without(peers, reader)
-	setAll(peers, 5)
-	until(t, allAt(rest, 5))
-	until(t, settled)
+	setVersion(peers, 5)
+	waitUntil(t, allAtVersion(rest, 5))
+	waitUntil(t, settled)
 }
 
-func readerOf(peers []*peer) *peer {
+func highestRanked(peers []*peer) *peer {
 	best := peers[0]
 	for _, p := range peers {
 		if p.self.Outranks(best.self) {
@@ -229,10 +229,10 @@
 	return rest
 }
 
-// TestReadsStoreWhileItAsksOthers cuts all nodes but the last in rank from the store, and has no time run out: the last
-// one must not wait for any of them.
-func TestReadsStoreWhileItAsksOthers(t *testing.T) {
-	peers := startMeshWith(t, 3, func(c *Config) { c.Stall, c.Settle = time.Hour, 0 })
+// TestReadsStoreWhileQueriesArePending makes the store unavailable to all nodes but the last in rank and disables the peer timeout: the last
+// node must not wait for any of the others.
+func TestReadsStoreWhileQueriesArePending(t *testing.T) {
+	peers := startMeshWith(t, 3, func(c *Config) { c.PeerTimeout, c.SettleTime = time.Hour, 0 })
 	last := peers[0]
 	for _, p := range peers {
 		if last.self.Outranks(p.self) {
@@ -240,33 +240,33 @@
 		}
 	}
 	for _, p := range without(peers, last) {
-		p.store.cut.Store(true)
+		p.store.down.Store(true)
 	}
 	for version := range int64(5) {
-		setAll(peers, version+2)
-		until(t, allAt([]*peer{last}, version+2))
+		setVersion(peers, version+2)
+		waitUntil(t, allAtVersion([]*peer{last}, version+2))
 	}
 }
 
-// TestNextReaderGoesOnFromWhatItHolds loses the reader while all can be asked: only the next one in rank reads the store,
-// and just what has changed since.
-func TestNextReaderGoesOnFromWhatItHolds(t *testing.T) {
+// TestNextReaderResumesFromItsVersions kills the reader while all other nodes are reachable: only the next in rank may read the store, and
+// only the changes since the version that it holds.
+func TestNextReaderResumesFromItsVersions(t *testing.T) {
 	peers := startMeshWith(t, 5, func(c *Config) { c.Feed.First, c.Feed.Lead = time.Hour, time.Hour })
-	until(t, allAt(peers, 1))
-	reader := readerOf(peers)
+	waitUntil(t, allAtVersion(peers, 1))
+	reader := highestRanked(peers)
 	rest := without(peers, reader)
-	next := readerOf(rest)
+	next := highestRanked(rest)
 	lists := func() (n int64) {
 		for _, p := range rest {
 			n += p.store.lists.Load()
 		}
 		return n
 	}
-	must.EqOp(t, 0, lists()) // the others asked the reader before they read the store
-	reader.end()
-	until(t, func() bool {
-		setAll(rest, 2)
-		return allAt(rest, 2)()
+	must.EqOp(t, 0, lists()) // the others queried the reader before they would read the store
+	reader.kill()
+	waitUntil(t, func() bool {
+		setVersion(rest, 2)
+		return allAtVersion(rest, 2)()
 	})
 	must.EqOp(t, 0, lists())
 	for _, p := range without(rest, next) {
@@ -274,10 +274,10 @@
 	}
 }
 
-// TestRegistersOnce starts nodes that stand among the members already, and one that does not.
+// TestRegistersOnce checks that a node registers only if its current entry is not among the members.
 func TestRegistersOnce(t *testing.T) {
-	peers := startMeshWith(t, 3, func(c *Config) { c.Again = time.Hour }) // by themselves they do so later
-	until(t, allAt(peers, 1))
+	peers := startMeshWith(t, 3, func(c *Config) { c.MaxReregisterDelay = time.Hour }) // keeps the automatic registration from interfering
+	waitUntil(t, allAtVersion(peers, 1))
 	for _, p := range peers {
 		must.EqOp(t, 0, p.store.writes.Load())
 	}
@@ -292,22 +292,22 @@
 	must.EqOp(t, 2, p.store.writes.Load())
 }
 
-// TestTimesOfANewFleet holds that a new node, which has not seen the others register yet, does not wait for changes as long
-// as one of a small fleet may: those that follow it would take its tables for old.
-func TestTimesOfANewFleet(t *testing.T) {
-	n := New(feed.Member{VM: "vm-0", DataCentre: "a"}, DefaultConfig(), NewHub(nil), &source{}, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), logrus.New())
+// TestWatchConfigOfNewFleet checks that a new node, which has not seen the others register yet, does not wait for changes as long as a single
+// node may: its followers would consider its tables stale.
+func TestWatchConfigOfNewFleet(t *testing.T) {
+	n := New(feed.Member{VM: "vm-0", DataCentre: "a"}, DefaultConfig(), NewHub(nil), &fakeStore{}, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), logrus.New())
 	must.Less(t, n.config.Feed.OldAge, n.config.Reader.Wait)
-	must.Greater(t, n.config.Feed.OldAge, n.config.Small.Wait)
-	must.EqOp(t, n.config.Reader.Wait, n.times().Wait)
+	must.Greater(t, n.config.Feed.OldAge, n.config.SingleNode.Wait)
+	must.EqOp(t, n.config.Reader.Wait, n.watchConfig().Wait)
 	n.settled.Store(true)
-	must.EqOp(t, n.config.Small.Wait, n.times().Wait)
+	must.EqOp(t, n.config.SingleNode.Wait, n.watchConfig().Wait)
 	n.SetMembers([]feed.Member{{VM: "vm-0"}, {VM: "vm-1"}})
-	must.EqOp(t, n.config.Reader.Wait, n.times().Wait)
+	must.EqOp(t, n.config.Reader.Wait, n.watchConfig().Wait)
 }
 
-// TestTimesLeaveRoomWithinTheBound holds that a reader's confirmations come before its tables count as old, and that a node
-// that has to wait for its tables to grow old and then for the lead has a third of the bound left.
-func TestTimesLeaveRoomWithinTheBound(t *testing.T) {
+// TestTimingsFitPropagationBound checks that a reader's confirmations arrive before its tables become stale, and that a node which first waits
+// for its tables to become stale and then for Feed.Lead has a third of the bound left.
+func TestTimingsFitPropagationBound(t *testing.T) {
 	for _, bound := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Minute} {
 		config := DefaultConfig().InForceWithin(bound)
 		must.Greater(t, config.Reader.Wait, config.Feed.OldAge, must.Sprint(bound))
--- a/shell/mesh/offer.go
+++ b/shell/mesh/offer.go
@@ -11,18 +11,18 @@
 	"github.com/vaneyoke/vaneyoke/internal/steady"
 )
 
-// maxOfferBytes is the size of the largest offer, and of the largest answer to a question for an age, that is taken in.
-const maxOfferBytes = 2 << 10
+// maxReceivedBytes is the largest size accepted of a datagram and of a response to a status query.
+const maxReceivedBytes = 2 << 10
 
-// offer is a datagram by which a node says that it can be asked for the tables.
+// offer is a datagram that announces a node as a source of the tables.
 type offer struct {
-	From feed.Member `json:"from"`
-	Beat beat        `json:"beat"`
+	From   feed.Member `json:"from"`
+	Status tableStatus `json:"beat"`
 }
 
-// offer sends an offer to some members; one that is lost on the way is sent again in time.
+// offer sends an offer to some members. A lost datagram is made up for by a later offer.
 func (n *Node) offer(to []feed.Member) {
-	o := offer{From: n.self, Beat: beatOf(n.hub.Word(steady.Now()))}
+	o := offer{From: n.self, Status: newTableStatus(n.hub.Status(steady.Now()))}
 	data, err := json.Marshal(o)
 	if err != nil {
 		n.log.WithField("error", err).Error("frame_unwritable")
@@ -30,12 +30,12 @@
 	}
 	for _, m := range to {
 		if n.sendDatagram(m, data) {
-			n.metrics.offered()
+			n.metrics.countOffer()
 		}
 	}
 }
 
-// listen takes in datagrams until ctx ends; a node that cannot be offered the tables finds them by asking.
+// listen receives datagrams until ctx is done. A node without an address gets no offers and finds a source by queries.
 func (n *Node) listen(ctx context.Context) {
 	if n.self.Address == "" {
 		return
@@ -48,7 +48,7 @@
 	}
 	n.datagrams.Store(&conn)
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	buffer := make([]byte, maxOfferBytes)
+	buffer := make([]byte, maxReceivedBytes)
 	for {
 		size, _, err := conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
@@ -57,33 +57,33 @@
 		if err != nil {
 			continue
 		}
-		n.takeDatagram(ctx, buffer[:size])
+		n.handleDatagram(ctx, buffer[:size])
 	}
 }
 
-// takeDatagram takes in a datagram; one that is not understood is passed over.
-func (n *Node) takeDatagram(ctx context.Context, data []byte) {
-	if len(data) > 0 && data[0] < firstUnmarked {
-		n.takeMarked(data)
+// handleDatagram handles a datagram and ignores unknown ones.
+func (n *Node) handleDatagram(ctx context.Context, data []byte) {
+	if len(data) > 0 && data[0] < firstTextByte {
+		n.handleTyped(data)
 		return
 	}
-	if n.takeSightings(data) {
+	if n.handleSightings(data) {
 		return
 	}
 	var o offer
 	if json.Unmarshal(data, &o) != nil || o.From.VM == "" || o.From.Address == "" {
-		n.metrics.passedOver()
+		n.metrics.countIgnored()
 		return
 	}
 	if o.From.VM != n.self.VM {
-		n.takeOffer(ctx, o)
+		n.handleOffer(ctx, o)
 	}
 }
 
-// takeOffer takes in an offer; the log holds those that say something to a node whose own tables are missing or old.
-func (n *Node) takeOffer(ctx context.Context, o offer) {
-	if own := n.hub.Word(steady.Now()); !own.Known {
-		n.log.WithFields(logrus.Fields{"peer": o.From.VM, "age_ms": o.Beat.AgeMs, "reader": o.Beat.Reader}).Info("tables_offered")
+// handleOffer handles an offer. Offers are logged only while this node lacks a table.
+func (n *Node) handleOffer(ctx context.Context, o offer) {
+	if own := n.hub.Status(steady.Now()); !own.Known {
+		n.log.WithFields(logrus.Fields{"peer": o.From.VM, "age_ms": o.Status.AgeMs, "reader": o.Status.Reader}).Info("tables_offered")
 	}
-	n.post(ctx, feed.Offered{From: o.From, Word: o.Beat.word()})
+	n.post(ctx, feed.Offered{From: o.From, Word: o.Status.decode()})
 }
--- a/shell/mesh/packet.go
+++ b/shell/mesh/packet.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	packBytes      = 2 << 10  // size from which a packet is compressed
-	maxPacketBytes = 64 << 20 // largest packet, and largest text of one, that is taken in
-	lengthBytes    = 4
+	compressMinBytes = 2 << 10  // frames of at least this size are compressed
+	maxPacketBytes   = 64 << 20 // largest packet accepted, and largest size of its decompressed JSON
+	lengthBytes      = 4
 )
 
-// gzipMagic begins a compressed packet; one that is not compressed begins with a brace.
+// gzipMagic is the prefix of a compressed packet; an uncompressed one starts with a brace.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// packet is the encoded form of a frame: JSON, compressed where it is large.
+// packet is an encoded frame: JSON, compressed if it is large.
 type packet []byte
 
 // pack encodes a frame.
 func pack(f frame) (packet, error) {
 	text, err := json.Marshal(f)
-	if err != nil || len(text) < packBytes {
+	if err != nil || len(text) < compressMinBytes {
 		return text, err
 	}
-	var packed bytes.Buffer
-	w, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
+	var compressed bytes.Buffer
+	w, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
 	if err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
 // unpack decodes a packet.
@@ -58,10 +58,10 @@
 	return f, json.Unmarshal(text, &f)
 }
 
-// writeTo writes a packet after its length.
+// writeTo writes a packet with its length as a prefix.
 func (p packet) writeTo(w io.Writer) error {
-	whole := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(p)), uint32(len(p))) //nolint:gosec // bounded by memory
-	_, err := w.Write(append(whole, p...))
+	framed := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(p)), uint32(len(p))) //nolint:gosec // bounded by memory
+	_, err := w.Write(append(framed, p...))
 	return err
 }
 
@@ -75,7 +75,7 @@
 	if n > maxPacketBytes {
 		return nil, fmt.Errorf("a packet of %d bytes is larger than %d", n, maxPacketBytes)
 	}
-	var p bytes.Buffer // grows with what arrives, whatever the length says
+	var p bytes.Buffer // grows with the data that arrives, so a false length allocates nothing
 	if _, err := io.CopyN(&p, r, int64(n)); errors.Is(err, io.EOF) {
 		return nil, io.ErrUnexpectedEOF
 	} else if err != nil {
--- a/shell/mesh/packet_test.go
+++ b/shell/mesh/packet_test.go
@@ -13,7 +13,7 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// largeRow is a row like that of a configuration of many routes.
+// largeRow returns a row like the configuration of many routes.
 func largeRow() watch.Row {
 	type entry struct{ Host, Prefix, Service string }
 	var entries []entry
@@ -27,32 +27,32 @@
 	return watch.Row{Data: data, Version: 3}
 }
 
-// TestNodesToldTheSameShareAPacket holds that many followers cost one encoding, and that a large row is small on the way.
-func TestNodesToldTheSameShareAPacket(t *testing.T) {
+// TestEqualFollowersShareOnePacket checks that followers with the same versions share one encoded packet, and that a large row is compressed.
+func TestEqualFollowersShareOnePacket(t *testing.T) {
 	now := time.Unix(1000, 0)
 	large := largeRow()
-	hub, _ := recorder()
-	set(hub, now, "t", watch.Rows{"a": row("1", 1)}, 2, now)
-	set(hub, now, "t", watch.Rows{"a": row("1", 1), "big": large}, 3, now)
-	first, _, _, err := hub.next(now, told{"t": {version: 2}})
+	hub, _ := newRecordingHub()
+	setConfirmed(hub, now, "t", watch.Rows{"a": row("1", 1)}, 2, now)
+	setConfirmed(hub, now, "t", watch.Rows{"a": row("1", 1), "big": large}, 3, now)
+	first, _, _, err := hub.nextUpdate(now, heldVersions{"t": {version: 2}})
 	must.NoError(t, err)
-	second, _, _, err := hub.next(now, told{"t": {version: 2}})
+	second, _, _, err := hub.nextUpdate(now, heldVersions{"t": {version: 2}})
 	must.NoError(t, err)
 	must.True(t, &first[0] == &second[0])
 	must.Less(t, len(large.Data)/5, len(first))
-	whole, _, _, err := hub.next(now, told{})
+	whole, _, _, err := hub.nextUpdate(now, heldVersions{})
 	must.NoError(t, err)
 	f, err := whole.unpack()
 	must.NoError(t, err)
 	must.Len(t, 2, f.Tables[0].Rows)
-	set(hub, now, "t", watch.Rows{"a": row("1", 1)}, 4, now)
-	third, _, _, err := hub.next(now, told{"t": {version: 2}})
+	setConfirmed(hub, now, "t", watch.Rows{"a": row("1", 1)}, 4, now)
+	third, _, _, err := hub.nextUpdate(now, heldVersions{"t": {version: 2}})
 	must.NoError(t, err)
 	must.False(t, bytes.Equal(first, third))
 }
 
 func TestPackets(t *testing.T) {
-	small, err := pack(frame{Beat: &beat{AgeMs: 7, Known: true}})
+	small, err := pack(frame{Status: &tableStatus{AgeMs: 7, Complete: true}})
 	must.NoError(t, err)
 	large, err := pack(frame{Tables: []tableUpdate{{Name: "t", Version: 3, Rows: []rowUpdate{{Key: "k", Data: largeRow().Data}}}}})
 	must.NoError(t, err)
@@ -79,7 +79,7 @@
 	must.Error(t, err)
 }
 
-// FuzzUnpack takes in what another node may send; it must not panic, and what decodes must encode again.
+// FuzzUnpack decodes arbitrary packets: it must not panic, and a decoded frame must survive encoding.
 func FuzzUnpack(f *testing.F) {
 	f.Add([]byte(`{"beat":{"age_ms":3,"known":true}}`))
 	if p, err := pack(frame{Tables: []tableUpdate{{Name: "t", Rows: []rowUpdate{{Key: "k", Data: largeRow().Data}}}}}); err == nil {
--- a/shell/mesh/read.go
+++ b/shell/mesh/read.go
@@ -10,103 +10,103 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// read follows the store's tables until ctx ends.
-func (r *runner) read(ctx context.Context, reading feed.Reading) {
+// readStore follows the store's tables in the given mode until ctx is done.
+func (r *runner) readStore(ctx context.Context, mode feed.Reading) {
 	turns := watch.NewTurns()
 	for name := range r.hub.tables {
-		if reading == feed.ReadNothing || reading == feed.ReadMembers && name != r.config.Members {
+		if mode == feed.ReadNothing || mode == feed.ReadMembers && name != r.config.MembersTable {
 			continue
 		}
-		f := r.follower(ctx, name, reading, turns)
+		f := r.newTableFollower(ctx, name, mode, turns)
 		r.work.Go(func() {
-			if !r.waitsForOthers(reading) || pause.For(ctx, r.config.FirstLook) {
+			if !r.waitsForOthers(mode) || pause.For(ctx, r.config.MembersReadDelay) {
 				f.Run(ctx)
 			}
 		})
 	}
 }
 
-// waitsForOthers reports whether the node waits for the others of a system that starts for the first time to register themselves.
-func (n *Node) waitsForOthers(reading feed.Reading) bool {
-	return n.config.FirstStart && reading == feed.ReadMembers && n.registeredMembers() == nil
+// waitsForOthers reports whether the node gives the others time to register, at the first start of the system.
+func (n *Node) waitsForOthers(mode feed.Reading) bool {
+	return n.config.FirstStart && mode == feed.ReadMembers && n.registeredMembers() == nil
 }
 
-// follower returns a follower of one of the store's tables, which goes on from what the hub holds.
-func (n *Node) follower(ctx context.Context, name string, reading feed.Reading, turns *watch.Turns) *watch.Follower {
+// newTableFollower returns a follower of one of the store's tables, which resumes from the version that the hub holds.
+func (n *Node) newTableFollower(ctx context.Context, name string, mode feed.Reading, turns *watch.Turns) *watch.Follower {
 	t := n.hub.tables[name]
-	times := func() watch.Config {
-		config := n.times()
+	watchConfig := func() watch.Config {
+		config := n.watchConfig()
 		if t.MayLag {
-			config = n.config.Slow
+			config = n.config.Lagging
 		}
-		if n.config.FirstStart && reading == feed.ReadMembers {
-			config.Gather = n.config.NextLook
+		if n.config.FirstStart && mode == feed.ReadMembers {
+			config.Gather = n.config.MembersReadInterval
 		}
 		config.Grace = t.Grace
 		return config
 	}
-	source := &reportedSource{Source: t.Source, failed: func() { n.post(ctx, feed.StoreFailed{}) }}
-	f := watch.New(name, source, times, turns, &sink{ctx: ctx, node: n, table: name}, n.log)
-	if rows, version, ok := n.hub.Held(name); ok {
+	source := &failureReporter{Source: t.Source, onFailure: func() { n.post(ctx, feed.StoreFailed{}) }}
+	f := watch.New(name, source, watchConfig, turns, &hubSink{ctx: ctx, node: n, table: name}, n.log)
+	if rows, version, ok := n.hub.Snapshot(name); ok {
 		f.Resume(rows, version)
 	}
 	return f
 }
 
-// times returns the times of a node that reads the store. One that knows nobody yet asks a store that fails at longer pauses,
-// because it is one of many then.
-func (n *Node) times() watch.Config {
+// watchConfig returns the configuration for reads of the store. A node that does not know the members yet pauses longer after a failed
+// call, because many others may be retrying at the same time.
+func (n *Node) watchConfig() watch.Config {
 	config := n.config.Reader
 	if n.settled.Load() && n.isAlone() {
-		config = n.config.Small
+		config = n.config.SingleNode
 	}
 	if n.registeredMembers() == nil {
-		config.Pause, config.First = n.config.Slow.Pause, n.config.Slow.First
+		config.Pause, config.First = n.config.Lagging.Pause, n.config.Lagging.First
 	}
 	return config
 }
 
-// reportedSource is a table of the store that tells of each call that failed.
-type reportedSource struct {
+// failureReporter wraps a table of the store and reports each failed call.
+type failureReporter struct {
 	watch.Source
-	failed func()
+	onFailure func()
 }
 
 // List returns all rows.
-func (s *reportedSource) List(ctx context.Context) (watch.Rows, watch.Version, error) {
+func (s *failureReporter) List(ctx context.Context) (watch.Rows, watch.Version, error) {
 	rows, version, err := s.Source.List(ctx)
 	s.report(err)
 	return rows, version, err
 }
 
 // Changes waits for changes.
-func (s *reportedSource) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
+func (s *failureReporter) Changes(ctx context.Context, after watch.Version, wait time.Duration) ([]watch.Change, watch.Version, error) {
 	changes, version, err := s.Source.Changes(ctx, after, wait)
 	s.report(err)
 	return changes, version, err
 }
 
-func (s *reportedSource) report(err error) {
+func (s *failureReporter) report(err error) {
 	if err != nil && !errors.Is(err, watch.ErrHistoryLost) {
-		s.failed()
+		s.onFailure()
 	}
 }
 
-// sink gives the hub what the store tells of a table.
-type sink struct {
+// hubSink passes updates of a table from the store to the hub.
+type hubSink struct {
 	ctx   context.Context
 	node  *Node
 	table string
 }
 
-// Set takes in all rows.
-func (s *sink) Set(now time.Time, rows watch.Rows, version watch.Version) {
+// Set updates all rows.
+func (s *hubSink) Set(now time.Time, rows watch.Rows, version watch.Version) {
 	s.node.hub.Set(now, s.table, rows, version)
 	s.Confirm(now, version)
 }
 
-// Confirm notes that the rows have not changed.
-func (s *sink) Confirm(now time.Time, version watch.Version) {
+// Confirm records that the rows have not changed.
+func (s *hubSink) Confirm(now time.Time, version watch.Version) {
 	s.node.hub.Confirm(s.table, version, now, s.node.self.VM)
-	s.node.post(s.ctx, feed.StoreRead{Word: s.node.hub.Word(now)})
+	s.node.post(s.ctx, feed.StoreRead{Word: s.node.hub.Status(now)})
 }
--- a/shell/mesh/register.go
+++ b/shell/mesh/register.go
@@ -12,24 +12,24 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// registerWhenKnown writes the own entry once the members are known, where it is not among them; at the first start of all, at once.
+// registerWhenKnown registers the node as soon as the members are known, unless it is already among them; at the first start of the system it also registers at once.
 func (n *Node) registerWhenKnown(ctx context.Context) {
 	if n.config.FirstStart {
 		n.register(ctx)
 	}
 	select {
-	case <-n.known:
+	case <-n.membersKnown:
 		n.register(ctx)
 	case <-ctx.Done():
 	}
 }
 
-// registered reports whether the own entry stands among the members as it is.
+// registered reports whether the members include this node's entry with its current values.
 func (n *Node) registered() bool {
 	return slices.Contains(n.registeredMembers(), n.self)
 }
 
-// register writes the own entry where an earlier start has not; nobody asks a node that could not.
+// register writes this node's entry unless it is up to date. Other nodes don't query a node that failed to register.
 func (n *Node) register(ctx context.Context) {
 	const tries = 3
 	if n.self.Address == "" || n.registered() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// DecodeMembers returns the members of a table's rows; a row that cannot be read is left out.
+// DecodeMembers decodes the members from a table's rows and skips invalid rows.
 func DecodeMembers(rows watch.Rows) []feed.Member {
 	return lo.FilterMap(lo.Values(rows), func(row watch.Row, _ int) (feed.Member, bool) {
 		var m feed.Member
--- a/shell/mesh/removals.go
+++ b/shell/mesh/removals.go
@@ -7,72 +7,72 @@
 )
 
 const (
-	mostRemovals = 256 // removed rows that a table remembers
-	mostSpans    = 64  // spans of versions that a table remembers
+	maxRemovals = 256 // removed rows recorded per table
+	maxSpans    = 64  // version ranges recorded per table
 )
 
-// removals remembers which rows of a table went, so that they can be told instead of all that are left.
+// removals records which rows of a table were removed, so that an update can list these instead of the keys of all remaining rows.
 //
-// A hub that reads the store skips versions, and a row that came and went between two that it saw leaves no trace in it. So
-// it tells removals only to a node that holds a version at which the hub knew the rows; any other is told all keys.
+// A hub that reads the store skips versions. A row that was added and removed between two versions that it read is unknown to it. Therefore
+// it sends removals only to a node that holds a version at which the hub knew the rows, and the keys of all rows to any other node.
 type removals struct {
-	spans []span                   // of versions at which the rows were known, in order
-	at    map[string]watch.Version // by key, the version at which the row was found to have gone
+	spans     []span                   // versions at which the rows were known, in ascending order
+	removedAt map[string]watch.Version // by key, the version at which the row was found missing
 }
 
-// span is a range of versions, both ends included.
+// span is an inclusive range of versions.
 type span struct{ from, to watch.Version }
 
-// saw takes in that the rows are known as of a version, and nothing of the versions between the last one and it.
-func (r *removals) saw(version watch.Version) {
+// addSpan records that the rows are known at a version, but not at the versions between the previous span and this one.
+func (r *removals) addSpan(version watch.Version) {
 	r.spans = append(r.spans, span{version, version})
-	if len(r.spans) > mostSpans {
-		r.spans = slices.Delete(r.spans, 0, len(r.spans)-mostSpans)
+	if len(r.spans) > maxSpans {
+		r.spans = slices.Delete(r.spans, 0, len(r.spans)-maxSpans)
 	}
 }
 
-// confirmed takes in that the rows have not changed from the last version on to a later one.
-func (r *removals) confirmed(version watch.Version) {
+// extendSpan records that the rows have not changed from the last known version up to a later one.
+func (r *removals) extendSpan(version watch.Version) {
 	if last := len(r.spans) - 1; last >= 0 {
 		r.spans[last].to = max(r.spans[last].to, version)
 	}
 }
 
-// note takes in that the rows of a table are others as of a version; nil rows before say that nothing was known.
-func (r *removals) note(before, after watch.Rows, version watch.Version) {
-	if r.at == nil {
-		r.at = map[string]watch.Version{}
+// recordChange records that the rows of a table changed at a version; before is nil if no rows were known.
+func (r *removals) recordChange(before, after watch.Rows, version watch.Version) {
+	if r.removedAt == nil {
+		r.removedAt = map[string]watch.Version{}
 	}
 	for key := range before {
 		if _, ok := after[key]; !ok {
-			r.at[key] = version
+			r.removedAt[key] = version
 		}
 	}
-	for key := range r.at {
+	for key := range r.removedAt {
 		if _, ok := after[key]; ok {
-			delete(r.at, key)
+			delete(r.removedAt, key)
 		}
 	}
-	if len(r.at) > mostRemovals {
+	if len(r.removedAt) > maxRemovals {
 		r.spans = nil
-		clear(r.at)
+		clear(r.removedAt)
 	}
-	r.saw(version)
+	r.addSpan(version)
 }
 
-// known reports whether all rows are known that went since a version.
-func (r *removals) known(had watch.Version) bool {
-	return slices.ContainsFunc(r.spans, func(s span) bool { return s.from <= had && had <= s.to })
+// covers reports whether all removals since the base version are known.
+func (r *removals) covers(base watch.Version) bool {
+	return slices.ContainsFunc(r.spans, func(s span) bool { return s.from <= base && base <= s.to })
 }
 
-// after returns the keys of the rows that went after a version and are not back, sorted.
-func (r *removals) after(had watch.Version) []string {
-	var gone []string
-	for key, version := range r.at {
-		if version > had {
-			gone = append(gone, key)
+// removedSince returns the keys of the rows removed after the base version and not added again, sorted.
+func (r *removals) removedSince(base watch.Version) []string {
+	var keys []string
+	for key, version := range r.removedAt {
+		if version > base {
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(keys)
+	return keys
 }
--- a/shell/mesh/removals_test.go
+++ b/shell/mesh/removals_test.go
@@ -13,31 +13,31 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// TestTablesFollowEachOther changes a table at random, with rows that go and come back and more that go than are remembered,
-// while two others follow it, one from each change to the next and one now and then; both hold its rows whenever they are told.
-func TestTablesFollowEachOther(t *testing.T) {
+// TestReplicasConvergeAfterRemovals changes a table at random, removes rows and adds them again, and removes more than maxRemovals at once. One
+// replica receives each change and another one only some; both must hold the same rows after each update.
+func TestReplicasConvergeAfterRemovals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		from, _ := recorder()
-		near, nearRows := recorder()
-		far, farRows := recorder()
-		nearTold, farTold := told{}, told{}
+		from, _ := newRecordingHub()
+		near, nearRows := newRecordingHub()
+		far, farRows := newRecordingHub()
+		nearHeld, farHeld := heldVersions{}, heldVersions{}
 		rows := watch.Rows{}
 		for version := watch.Version(1); version < 12; version++ {
 			rows = maps.Clone(rows)
 			changeRows(t, rows, version)
-			set(from, now, "t", rows, version, now)
-			follow(t, from, near, now, nearTold)
+			setConfirmed(from, now, "t", rows, version, now)
+			sendNext(t, from, near, now, nearHeld)
 			must.MapEq(t, rows, *nearRows)
 			if rapid.IntRange(0, 6).Draw(t, "far") == 0 {
-				follow(t, from, far, now, farTold)
+				sendNext(t, from, far, now, farHeld)
 				must.MapEq(t, rows, *farRows)
 			}
 		}
 	})
 }
 
-// changeRows writes a few rows and removes a few others, now and then nearly all.
+// changeRows writes a few rows and removes a few others, sometimes nearly all.
 func changeRows(t *rapid.T, rows watch.Rows, version watch.Version) {
 	for range rapid.IntRange(0, 3).Draw(t, "writes") {
 		key := fmt.Sprint("k", rapid.IntRange(0, 20).Draw(t, "key"))
@@ -47,7 +47,7 @@
 	case 0, 1, 2:
 		delete(rows, fmt.Sprint("k", rapid.IntRange(0, 20).Draw(t, "gone")))
 	case 3:
-		for n := range mostRemovals + 10 { // rows that go at the next change of this kind
+		for n := range maxRemovals + 10 { // removed together by a later case 4
 			rows[fmt.Sprint("many", n)] = row("many", version)
 		}
 	case 4:
@@ -55,106 +55,106 @@
 	}
 }
 
-func follow(t *rapid.T, from, to *Hub, now time.Time, before told) {
-	p, _, _, err := from.next(now, before)
+func sendNext(t *rapid.T, from, to *Hub, now time.Time, held heldVersions) {
+	p, _, _, err := from.nextUpdate(now, held)
 	must.NoError(t, err)
 	if p == nil {
 		return
 	}
 	f, err := p.unpack()
 	must.NoError(t, err)
-	to.take(now, f, nil)
+	to.applyFrame(now, f, nil)
 }
 
-// TestRemovalIsSmallInALargeTable holds that one row that goes does not have the keys of all others told.
-func TestRemovalIsSmallInALargeTable(t *testing.T) {
+// TestRemovalSendsOnlyRemovedKey checks that the removal of one row from a large table does not send the keys of all other rows.
+func TestRemovalSendsOnlyRemovedKey(t *testing.T) {
 	now := time.Unix(1000, 0)
-	from, _ := recorder()
+	from, _ := newRecordingHub()
 	rows := watch.Rows{}
 	for n := range 3000 {
 		rows[fmt.Sprintf("i-%010d", n)] = row("x", 1)
 	}
-	set(from, now, "t", rows, 1, now)
+	setConfirmed(from, now, "t", rows, 1, now)
 	rows = maps.Clone(rows)
 	delete(rows, "i-0000000007")
-	set(from, now, "t", rows, 2, now)
-	p, _, _, err := from.next(now, told{"t": {version: 1}})
+	setConfirmed(from, now, "t", rows, 2, now)
+	p, _, _, err := from.nextUpdate(now, heldVersions{"t": {version: 1}})
 	must.NoError(t, err)
 	must.Less(t, 200, len(p))
 	f, err := p.unpack()
 	must.NoError(t, err)
-	must.Eq(t, []string{"i-0000000007"}, f.Tables[0].Gone)
+	must.Eq(t, []string{"i-0000000007"}, f.Tables[0].Removed)
 }
 
-// TestRowsThatChangeWithinAVersion drops a row without a transaction, as one that had lapsed does at the end of its grace;
-// nodes that were told the version before must be told again, new connections among them.
-func TestRowsThatChangeWithinAVersion(t *testing.T) {
+// TestRowsChangedWithinVersionAreResent removes a row without a transaction, like an expired row at the end of its grace period. Nodes that
+// already received this version must get the change, including those that reconnect.
+func TestRowsChangedWithinVersionAreResent(t *testing.T) {
 	now := time.Unix(1000, 0)
-	from, _ := recorder()
-	set(from, now, "t", watch.Rows{"a": row("1", 1), "b": row("2", 2)}, 2, now)
+	from, _ := newRecordingHub()
+	setConfirmed(from, now, "t", watch.Rows{"a": row("1", 1), "b": row("2", 2)}, 2, now)
 	from.Confirm("t", 5, now, "reader")
-	near, nearRows := recorder()
-	nearTold := told{}
-	tell := func(to *Hub, before told) {
-		to.take(now, nextOf(t, from, now, before), nil)
+	near, nearRows := newRecordingHub()
+	nearHeld := heldVersions{}
+	send := func(to *Hub, held heldVersions) {
+		to.applyFrame(now, nextFrame(t, from, now, held), nil)
 	}
-	tell(near, nearTold)
+	send(near, nearHeld)
 	must.MapLen(t, 2, *nearRows)
-	far, farRows := recorder()
-	tell(far, told{})
-	held := toldOf(far.held())
-	set(from, now, "t", watch.Rows{"a": row("1", 1)}, 5, now)
-	tell(near, nearTold)
+	far, farRows := newRecordingHub()
+	send(far, heldVersions{})
+	farHeld := parseHeldVersions(far.heldQuery())
+	setConfirmed(from, now, "t", watch.Rows{"a": row("1", 1)}, 5, now)
+	send(near, nearHeld)
 	must.Eq(t, watch.Rows{"a": row("1", 1)}, *nearRows)
-	tell(far, held)
+	send(far, farHeld)
 	must.Eq(t, watch.Rows{"a": row("1", 1)}, *farRows)
-	must.SliceEmpty(t, nextOf(t, from, now, nearTold).Tables)
-	must.SliceEmpty(t, nextOf(t, from, now, held).Tables)
+	must.SliceEmpty(t, nextFrame(t, from, now, nearHeld).Tables)
+	must.SliceEmpty(t, nextFrame(t, from, now, farHeld).Tables)
 }
 
-// unchanged reports whether a table had the same rows at each of some versions.
-func unchanged(truth []watch.Rows) bool {
-	return !slices.ContainsFunc(truth, func(rows watch.Rows) bool { return !maps.EqualFunc(truth[0], rows, sameVersion) })
+// unchanged reports whether a table had the same rows at all of the versions.
+func unchanged(history []watch.Rows) bool {
+	return !slices.ContainsFunc(history, func(rows watch.Rows) bool { return !maps.EqualFunc(history[0], rows, sameVersion) })
 }
 
-// TestTablesNeverGoBack has a node follow two others in turn that read the store each at its own times and so skip versions:
-// whenever it is told something, it holds exactly the store's rows of some version, and never of an older one than before.
-func TestTablesNeverGoBack(t *testing.T) {
+// TestReplicaNeverRegresses has a node alternate between two sources that read the store at different times and so skip versions. After each
+// update it must hold exactly the store's rows of some version, never an older one than before.
+func TestReplicaNeverRegresses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		truth := []watch.Rows{{}}
+		history := []watch.Rows{{}}
 		parents := [2]*Hub{}
 		for i := range parents {
-			parents[i], _ = recorder()
-			set(parents[i], now, "t", truth[0], 0, now)
+			parents[i], _ = newRecordingHub()
+			setConfirmed(parents[i], now, "t", history[0], 0, now)
 		}
-		node, got := recorder()
-		at, before := 0, told{}
+		node, got := newRecordingHub()
+		current, held := 0, heldVersions{}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			version := watch.Version(len(truth))
-			rows := maps.Clone(truth[len(truth)-1])
+			version := watch.Version(len(history))
+			rows := maps.Clone(history[len(history)-1])
 			changeRows(t, rows, version)
-			truth = append(truth, rows)
+			history = append(history, rows)
 			for _, p := range parents {
 				switch rapid.IntRange(0, 3).Draw(t, "parent") {
-				case 0: // reads what has changed
-					set(p, now, "t", rows, version, now)
-				case 1: // hears that nothing has, which the store says only where no row came and went either
-					if unchanged(truth[p.tables["t"].version:]) {
+				case 0: // reads the changes
+					setConfirmed(p, now, "t", rows, version, now)
+				case 1: // a confirmation, which the store sends only if no row was added and removed in between either
+					if unchanged(history[p.tables["t"].version:]) {
 						p.Confirm("t", version, now, "reader")
 					}
 				}
 			}
 			if rapid.Bool().Draw(t, "switch") {
-				at, before = 1-at, told{}
+				current, held = 1-current, heldVersions{}
 				if node.tables["t"].rows != nil {
-					before["t"] = hold{version: node.tables["t"].version}
+					held["t"] = heldVersion{version: node.tables["t"].version}
 				}
 			}
 			earlier := node.tables["t"].version
-			follow(t, parents[at], node, now, before)
+			sendNext(t, parents[current], node, now, held)
 			must.GreaterEq(t, earlier, node.tables["t"].version)
-			must.MapEq(t, truth[node.tables["t"].version], *got)
+			must.MapEq(t, history[node.tables["t"].version], *got)
 		}
 	})
 }
--- a/shell/mesh/mute_test.go
+++ b/shell/mesh/silent_connection_test.go
@@ -11,11 +11,11 @@
 	"github.com/vaneyoke/vaneyoke/internal/muteline"
 )
 
-// TestSilentConnectionsBetweenNodes has the connections to the node that all follow fall silent for good, without a reset;
-// later ones work. A change is in force everywhere soon after, and again after the next time.
+// TestSilentConnectionsBetweenNodes makes the existing connections to the common source silent without a reset, while new connections work.
+// Each change must still reach all nodes soon, repeatedly.
 func TestSilentConnectionsBetweenNodes(t *testing.T) {
-	peers := startMeshWith(t, 4, func(c *Config) { c.Stall = 200 * time.Millisecond })
-	reader := readerOf(peers)
+	peers := startMeshWith(t, 4, func(c *Config) { c.PeerTimeout = 200 * time.Millisecond })
+	reader := highestRanked(peers)
 	line, err := muteline.New(reader.self.Address)
 	must.NoError(t, err)
 	t.Cleanup(line.Close)
@@ -30,10 +30,10 @@
 	for _, p := range peers {
 		p.SetMembers(all)
 	}
-	until(t, allAt(peers, 1))
+	waitUntil(t, allAtVersion(peers, 1))
 	for version := range int64(3) {
 		line.Mute()
-		setAll(peers, version+2)
-		until(t, allAt(peers, version+2))
+		setVersion(peers, version+2)
+		waitUntil(t, allAtVersion(peers, version+2))
 	}
 }
--- a/shell/mesh/silence_test.go
+++ b/shell/mesh/store_silence_test.go
@@ -14,41 +14,41 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// hush is a table of a store that is silent up to a time: calls that were made before it never get an answer.
-type hush struct {
-	until time.Time
-	calls int
+// silentStore is a table of a store that is silent until some time: calls made before then never get a response.
+type silentStore struct {
+	silentUntil time.Time
+	calls       int
 }
 
-func (h *hush) List(ctx context.Context) (watch.Rows, watch.Version, error) {
+func (h *silentStore) List(ctx context.Context) (watch.Rows, watch.Version, error) {
 	h.calls++
-	if time.Now().Before(h.until) {
+	if time.Now().Before(h.silentUntil) {
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
 	return watch.Rows{}, 1, nil
 }
 
-func (h *hush) Changes(ctx context.Context, _ watch.Version, _ time.Duration) ([]watch.Change, watch.Version, error) {
+func (h *silentStore) Changes(ctx context.Context, _ watch.Version, _ time.Duration) ([]watch.Change, watch.Version, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// first remembers when it was told rows first.
-type first struct{ at time.Time }
+// firstSet records the time of the call of Set.
+type firstSet struct{ at time.Time }
 
-func (f *first) Set(now time.Time, _ watch.Rows, _ watch.Version) { f.at = now }
-func (f *first) Confirm(time.Time, watch.Version)                 {}
+func (f *firstSet) Set(now time.Time, _ watch.Rows, _ watch.Version) { f.at = now }
+func (f *firstSet) Confirm(time.Time, watch.Version)                 {}
 
-// TestTablesAreListedSoonAfterASilence has a node start while the store is silent: whatever the table, its rows are there soon after the
-// store's return, and it was asked rarely meanwhile.
-func TestTablesAreListedSoonAfterASilence(t *testing.T) {
+// TestTablesAreListedSoonAfterStoreSilence starts a node while the store does not respond: the rows of each kind of table must be listed soon
+// after the store responds again.
+func TestTablesAreListedSoonAfterStoreSilence(t *testing.T) {
 	config := DefaultConfig()
-	for name, times := range map[string]watch.Config{"reader": config.Reader, "alone": config.Small, "members": config.Slow} {
+	for name, times := range map[string]watch.Config{"reader": config.Reader, "alone": config.SingleNode, "members": config.Lagging} {
 		for silent := 100 * time.Millisecond; silent < 15*time.Second; silent += 700 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				back := time.Now().Add(silent)
-				source, sink := &hush{until: back}, &first{}
+				source, sink := &silentStore{silentUntil: back}, &firstSet{}
 				log := logrus.New()
 				log.SetOutput(io.Discard)
 				ctx, stop := context.WithCancel(t.Context())
--- a/shell/mesh/suspect_test.go
+++ b/shell/mesh/suspect_test.go
@@ -17,10 +17,11 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// TestSuspectsAreTakenOffIfGone has members be suspected: one that takes connections stays, unless its row is of a later build, and a node whose own tables are old takes nobody off.
-func TestSuspectsAreTakenOffIfGone(t *testing.T) {
-	there := httptest.NewServer(bareNode().Handler())
-	t.Cleanup(there.Close)
+// TestUnreachableSuspectsAreRemoved checks suspected members: one that accepts connections stays, unless its row was written by a later build, and a node
+// with stale tables removes nobody.
+func TestUnreachableSuspectsAreRemoved(t *testing.T) {
+	reachable := httptest.NewServer(idleNode().Handler())
+	t.Cleanup(reachable.Close)
 	earlier := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }))
 	t.Cleanup(earlier.Close)
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,15 +30,15 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, fresh := range []bool{true, false} {
-		registry := &removed{rows: map[string]watch.Version{}}
+		registry := &fakeRegistry{removed: map[string]watch.Version{}}
 		hub := NewHub(map[string]Table{"members": {Apply: func(time.Time, watch.Rows) {}, MayLag: true}})
-		set(hub, time.Now(), "members", watch.Rows{"there": row("x", 3), "gone": row("x", 4), "self": row("x", 5), "earlier": row("x", 7), "always": row("x", 8)}, 9, time.Now())
+		setConfirmed(hub, time.Now(), "members", watch.Rows{"there": row("x", 3), "gone": row("x", 4), "self": row("x", 5), "earlier": row("x", 7), "always": row("x", 8)}, 9, time.Now())
 		n := New(feed.Member{VM: "self"}, DefaultConfig(), hub, registry, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), log)
 		n.SetMembers([]feed.Member{
-			{VM: "self"}, {VM: "there", Address: there.Listener.Addr().String(), Speaks: feed.DialectOwn}, {VM: "gone", Address: gone.Addr().String()},
+			{VM: "self"}, {VM: "there", Address: reachable.Listener.Addr().String(), Speaks: feed.DialectOwn}, {VM: "gone", Address: gone.Addr().String()},
 			{VM: "earlier", Address: earlier.Listener.Addr().String(), Speaks: feed.DialectOwn}, {VM: "always", Address: earlier.Listener.Addr().String()},
 		})
-		n.metrics.takesPart(Part{Fresh: fresh})
+		n.metrics.setStatus(NodeStatus{Fresh: fresh})
 		for _, vm := range []vaneyoke.VMID{"there", "gone", "self", "unknown", "earlier", "always"} {
 			n.TakeOffIfGone(vm)
 		}
@@ -45,17 +46,17 @@
 		if fresh {
 			want["gone"], want["earlier"] = 4, 7
 		}
-		must.Eq(t, want, registry.rows)
+		must.Eq(t, want, registry.removed)
 	}
 }
 
-// TestNodeThatWasTakenOffRegistersAgain takes a node off the members that runs: it registers itself once.
-func TestNodeThatWasTakenOffRegistersAgain(t *testing.T) {
-	peers := startMeshWith(t, 3, func(c *Config) { c.Again = 50 * time.Millisecond })
-	until(t, allAt(peers, 1))
+// TestRemovedNodeRegistersAgain removes a running node from the members: it must register again, and only until it is among the members.
+func TestRemovedNodeRegistersAgain(t *testing.T) {
+	peers := startMeshWith(t, 3, func(c *Config) { c.MaxReregisterDelay = 50 * time.Millisecond })
+	waitUntil(t, allAtVersion(peers, 1))
 	p := peers[0]
 	others := []feed.Member{peers[1].self, peers[2].self}
-	until(t, func() bool { // the run may not have looked at the members yet
+	waitUntil(t, func() bool { // the event loop may not have read the members yet
 		p.SetMembers(append(others, p.self))
 		p.SetMembers(others)
 		time.Sleep(10 * time.Millisecond)
@@ -64,28 +65,28 @@
 	p.SetMembers(append(others, p.self))
 	writes := p.store.writes.Load()
 	time.Sleep(100 * time.Millisecond)
-	must.LessEq(t, writes+2, p.store.writes.Load()) // what was begun before
+	must.LessEq(t, writes+2, p.store.writes.Load()) // registrations that had started before
 }
 
-// TestNeighboursTellTheirDialect has nodes follow one another, and asks what they know of each other's builds, also after one has ended.
-func TestNeighboursTellTheirDialect(t *testing.T) {
+// TestNeighboursExchangeProtocolVersions checks that source and followers know each other's protocol versions, and drop them after a node has stopped.
+func TestNeighboursExchangeProtocolVersions(t *testing.T) {
 	peers := startMesh(t, 3)
-	until(t, allAt(peers, 1))
+	waitUntil(t, allAtVersion(peers, 1))
 	known := func(p *peer) (n int) {
 		for _, other := range peers {
-			if p.neighbours.dialect(other.self.VM) == feed.DialectOwn {
+			if p.neighbours.protocol(other.self.VM) == feed.DialectOwn {
 				n++
 			}
 		}
 		return n
 	}
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		sum := 0
 		for _, p := range peers {
 			sum += known(p)
 		}
-		return sum == 4 // two nodes follow one
+		return sum == 4 // two nodes follow one, and each side knows the other
 	})
-	peers[0].end()
-	until(t, func() bool { return known(peers[1])+known(peers[2]) == 2 })
+	peers[0].kill()
+	waitUntil(t, func() bool { return known(peers[1])+known(peers[2]) == 2 })
 }
--- a/shell/mesh/suspended_test.go
+++ b/shell/mesh/suspended_test.go
@@ -13,24 +13,24 @@
 	"github.com/vaneyoke/vaneyoke/internal/steady"
 )
 
-// TestSuspendedNodeTellsTheAge suspends a node's VM while the store is away: to others it tells tables as old as they are.
-func TestSuspendedNodeTellsTheAge(t *testing.T) {
-	var behind atomic.Int64
-	t.Cleanup(steady.Pretend(steady.New(func() time.Duration { return time.Duration(behind.Load()) })))
+// TestSuspendedNodeReportsFullAge suspends a node's VM while the store is unavailable: the age that it reports must include the suspension.
+func TestSuspendedNodeReportsFullAge(t *testing.T) {
+	var suspended atomic.Int64
+	t.Cleanup(steady.Pretend(steady.New(func() time.Duration { return time.Duration(suspended.Load()) })))
 	p := startMesh(t, 1)[0]
 	age := func() time.Duration {
 		w := httptest.NewRecorder()
 		p.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, AgePath, nil))
-		var b beat
+		var b tableStatus
 		must.NoError(t, json.Unmarshal(w.Body.Bytes(), &b))
-		must.True(t, b.Known)
+		must.True(t, b.Complete)
 		return time.Duration(b.AgeMs) * time.Millisecond
 	}
 	for start := time.Now(); p.version.Load() == 0; time.Sleep(time.Millisecond) {
-		must.Less(t, patient, time.Since(start))
+		must.Less(t, testTimeout, time.Since(start))
 	}
 	must.Less(t, 5*time.Second, age())
-	p.store.cut.Store(true)
-	behind.Add(int64(7 * time.Second))
+	p.store.down.Store(true)
+	suspended.Add(int64(7 * time.Second))
 	must.GreaterEq(t, 7*time.Second, age())
 }
