--- a/shell/relay/forwarded_test.go
+++ b/shell/relay/forwarded_test.go
@@ -49,11 +49,11 @@
 	return vaneyoke.Upstream{ID: id, URL: "http://" + string(id), Incarnation: p.incarnation}, 0, nil
 }
 
-func (*inTurn) Admit(placement.Need)                          {}
-func (*inTurn) Holders(placement.Need) []vaneyoke.Upstream    { return nil }
-func (*inTurn) Homes(placement.Need) []vaneyoke.Upstream      { return nil }
-func (*inTurn) HasRoom(placement.Need) bool                   { return true }
-func (*inTurn) Spares(placement.Need) []vaneyoke.Upstream     { return nil }
+func (*inTurn) Admit(placement.Need)                              {}
+func (*inTurn) Holders(placement.Need) []vaneyoke.Upstream        { return nil }
+func (*inTurn) Homes(placement.Need) []vaneyoke.Upstream          { return nil }
+func (*inTurn) HasRoom(placement.Need) bool                       { return true }
+func (*inTurn) Spares(placement.Need) []vaneyoke.Upstream         { return nil }
 func (*inTurn) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport) {}
 func (*inTurn) Replica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	return vaneyoke.Upstream{}, false
@@ -95,7 +95,7 @@
 	answers map[vaneyoke.UpstreamID]forward.Exchange
 	waits   map[vaneyoke.UpstreamID]time.Duration       // before the head comes
 	reached bool                                        // whether the first upstream takes connections
-	work    vaneyoke.RunState                               // that every upstream says it does
+	work    vaneyoke.RunState                           // that every upstream says it does
 	has     map[vaneyoke.UpstreamID]vaneyoke.UpstreamID // who has the address of an upstream, as far as it says so
 }
 
--- a/tools/measure/core.go
+++ b/tools/measure/core.go
@@ -74,13 +74,13 @@
 }
 
 // Resumed does nothing.
-func (onePlacer) Holders(placement.Need) []vaneyoke.Upstream    { return nil }
+func (onePlacer) Holders(placement.Need) []vaneyoke.Upstream        { return nil }
 func (onePlacer) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport) {}
-func (onePlacer) HasRoom(placement.Need) bool                   { return true }
-func (onePlacer) Spares(placement.Need) []vaneyoke.Upstream     { return nil }
-func (onePlacer) Homes(placement.Need) []vaneyoke.Upstream      { return nil }
-func (onePlacer) Unsent(placement.Need)                         {}
-func (onePlacer) Admit(placement.Need)                          {}
+func (onePlacer) HasRoom(placement.Need) bool                       { return true }
+func (onePlacer) Spares(placement.Need) []vaneyoke.Upstream         { return nil }
+func (onePlacer) Homes(placement.Need) []vaneyoke.Upstream          { return nil }
+func (onePlacer) Unsent(placement.Need)                             {}
+func (onePlacer) Admit(placement.Need)                              {}
 func (onePlacer) Replica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	return vaneyoke.Upstream{}, false
 }
