--- a/decide/quarantine/event.go
+++ b/decide/quarantine/event.go
@@ -12,7 +12,7 @@
 	Incarnation vaneyoke.Incarnation `json:"incarnation,omitempty"` // 0 where the upstream does not tell
 	// Again counts the lives that ended before under the same incarnation: an upstream that runs anew has begun another life,
 	// also where its entry does not say so yet.
-	Again int `json:"again,omitempty"`
+	EarlierCrashes int `json:"again,omitempty"`
 }
 
 // Row is what the store holds of a content.
@@ -26,7 +26,7 @@
 type Event interface{ event() }
 
 // Crashed says that an upstream ended as it began to run a request of this node.
-type Crashed struct {
+type CrashObserved struct {
 	Content     vaneyoke.ContentID
 	Upstream    vaneyoke.UpstreamID
 	Incarnation vaneyoke.Incarnation
@@ -34,46 +34,46 @@
 }
 
 // Survived says that an upstream has answered a request of this node in whole.
-type Survived struct{ Content vaneyoke.ContentID }
+type RequestCompleted struct{ Content vaneyoke.ContentID }
 
 // Heard tells of a crash that another node knows.
-type Heard struct {
-	Content vaneyoke.ContentID
-	Crash   Crash
-	By      vaneyoke.VMID // that saw it
-	Next    bool          // whether that node is next to this one
+type CrashReported struct {
+	Content       vaneyoke.ContentID
+	Crash         Crash
+	Origin        vaneyoke.VMID // that saw it
+	FromNeighbour bool          // whether that node is next to this one
 }
 
 // HeardSurvived says that another node had a request answered in whole.
-type HeardSurvived struct{ Content vaneyoke.ContentID }
+type CompletionReported struct{ Content vaneyoke.ContentID }
 
 // Recorded tells all rows of the store.
-type Recorded struct{ Rows []Row }
+type RowsUpdated struct{ Rows []Row }
 
 // Tick says that the time has come that State.Next told; Reads says whether this node reads the store for others.
-type Tick struct{ Reads bool }
+type Tick struct{ ReadsStore bool }
 
-func (Crashed) event()       {}
-func (Survived) event()      {}
-func (Heard) event()         {}
-func (HeardSurvived) event() {}
-func (Recorded) event()      {}
-func (Tick) event()          {}
+func (CrashObserved) event()      {}
+func (RequestCompleted) event()   {}
+func (CrashReported) event()      {}
+func (CompletionReported) event() {}
+func (RowsUpdated) event()        {}
+func (Tick) event()               {}
 
 // Effect is something that the node has to do.
 type Effect interface{ effect() }
 
 // Bar says that a content is sent to no upstream from now on.
-type Bar struct {
+type Block struct {
 	Content vaneyoke.ContentID
 	Crashes []Crash
 }
 
 // Lift says that a content is barred no more.
-type Lift struct{ Content vaneyoke.ContentID }
+type Unblock struct{ Content vaneyoke.ContentID }
 
 // Tell has the node tell the others of a crash.
-type Tell struct {
+type BroadcastCrash struct {
 	Content vaneyoke.ContentID
 	Crash   Crash
 }
@@ -83,9 +83,9 @@
 
 // The reasons.
 const (
-	ReasonSameLife Reason = "same_life" // two losses at an upstream that has ended once
-	ReasonTogether Reason = "together"  // the upstream fell with another, which counts
-	ReasonBarred   Reason = "barred"    // enough crashes are known
+	ReasonSameCrash    Reason = "same_life" // two losses at an upstream that has ended once
+	ReasonSimultaneous Reason = "together"  // the upstream fell with another, which counts
+	ReasonBlocked      Reason = "barred"    // enough crashes are known
 )
 
 // Dismiss says that a crash does not count.
@@ -96,21 +96,21 @@
 }
 
 // TellSurvived has the node tell the others that a content is innocent.
-type TellSurvived struct{ Content vaneyoke.ContentID }
+type BroadcastCompletion struct{ Content vaneyoke.ContentID }
 
 // Write has the node write a content's crashes where its row has a revision, 0 for no row.
-type Write struct{ Row Row }
+type WriteRow struct{ Row Row }
 
 // Remove has the node remove a content's row of a revision.
-type Remove struct {
+type RemoveRow struct {
 	Content  vaneyoke.ContentID
 	Revision vaneyoke.Revision
 }
 
-func (Bar) effect()          {}
-func (Lift) effect()         {}
-func (Tell) effect()         {}
-func (Dismiss) effect()      {}
-func (TellSurvived) effect() {}
-func (Write) effect()        {}
-func (Remove) effect()       {}
+func (Block) effect()               {}
+func (Unblock) effect()             {}
+func (BroadcastCrash) effect()      {}
+func (Dismiss) effect()             {}
+func (BroadcastCompletion) effect() {}
+func (WriteRow) effect()            {}
+func (RemoveRow) effect()           {}
--- a/decide/quarantine/links_test.go
+++ b/decide/quarantine/links_test.go
@@ -34,7 +34,7 @@
 		list = append(list, row)
 	}
 	slices.SortFunc(list, func(a, b quarantine.Row) int { return cmp.Compare(a.Content, b.Content) })
-	w.handle(i, quarantine.Recorded{Rows: list})
+	w.handle(i, quarantine.RowsUpdated{Rows: list})
 }
 
 func (w *world) reaches(i, j int) bool {
@@ -71,15 +71,15 @@
 	slices.SortStableFunc(effects, func(a, b quarantine.Effect) int { return cmp.Compare(contentOf(a), contentOf(b)) }) // so that a seed plays again
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case quarantine.Tell:
-			w.gossip(i, gossip.Seen{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.Again}})
-		case quarantine.TellSurvived:
+		case quarantine.BroadcastCrash:
+			w.gossip(i, gossip.Seen{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.EarlierCrashes}})
+		case quarantine.BroadcastCompletion:
 			w.gossip(i, gossip.Seen{Kind: gossip.KindSurvived, Run: gossip.Run{Content: e.Content}})
-		case quarantine.Write:
+		case quarantine.WriteRow:
 			w.callStore(i, func() { w.write(e.Row) })
-		case quarantine.Remove:
+		case quarantine.RemoveRow:
 			w.callStore(i, func() { w.remove(e) })
-		case quarantine.Bar:
+		case quarantine.Block:
 			w.sends = slices.DeleteFunc(w.sends, func(s send) bool { return s.node == i && e.Content == poison })
 		}
 	}
@@ -88,17 +88,17 @@
 // contentOf returns the content that an effect is about.
 func contentOf(effect quarantine.Effect) vaneyoke.ContentID {
 	switch e := effect.(type) {
-	case quarantine.Bar:
+	case quarantine.Block:
 		return e.Content
-	case quarantine.Lift:
+	case quarantine.Unblock:
 		return e.Content
-	case quarantine.Tell:
+	case quarantine.BroadcastCrash:
 		return e.Content
-	case quarantine.TellSurvived:
+	case quarantine.BroadcastCompletion:
 		return e.Content
-	case quarantine.Write:
+	case quarantine.WriteRow:
 		return e.Row.Content
-	case quarantine.Remove:
+	case quarantine.RemoveRow:
 		return e.Content
 	default:
 		return ""
@@ -111,12 +111,12 @@
 		switch e := effect.(type) {
 		case gossip.Believe:
 			if e.Sighting.Kind == gossip.KindSurvived {
-				w.handle(i, quarantine.HeardSurvived{Content: e.Sighting.Content})
+				w.handle(i, quarantine.CompletionReported{Content: e.Sighting.Content})
 				continue
 			}
-			w.handle(i, quarantine.Heard{
-				Content: e.Sighting.Content, By: e.Sighting.Origin, Next: e.Sighting.Hops == 1,
-				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, Again: e.Sighting.Again},
+			w.handle(i, quarantine.CrashReported{
+				Content: e.Sighting.Content, Origin: e.Sighting.Origin, FromNeighbour: e.Sighting.Hops == 1,
+				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, EarlierCrashes: e.Sighting.Again},
 			})
 		case gossip.Send:
 			n.told++
@@ -153,7 +153,7 @@
 	w.spread()
 }
 
-func (w *world) remove(e quarantine.Remove) {
+func (w *world) remove(e quarantine.RemoveRow) {
 	if w.rows[e.Content].Revision != e.Revision {
 		return
 	}
--- a/decide/quarantine/state.go
+++ b/decide/quarantine/state.go
@@ -9,8 +9,8 @@
 
 // Config holds the bounds of a quarantine.
 type Config struct {
-	Crashes int           // lives of upstreams that a content has ended when it is barred; 0 for never
-	Hold    time.Duration // how long a content is barred
+	CrashThreshold int           // lives of upstreams that a content has ended when it is barred; 0 for never
+	BlockDuration  time.Duration // how long a content is barred
 }
 
 const (
@@ -57,39 +57,39 @@
 }
 
 // Next returns when Tick is due, the zero time for not at all.
-func (s *State) Next() time.Time { return s.due }
+func (s *State) NextTick() time.Time { return s.due }
 
 // Barred reports whether a content is sent to no upstream, and for how long it is not.
-func (s *State) Barred(now time.Time, content vaneyoke.ContentID) (left time.Duration, barred bool) {
+func (s *State) Blocked(now time.Time, content vaneyoke.ContentID) (left time.Duration, barred bool) {
 	r := s.records[content]
 	if r == nil || r.barredAt.IsZero() {
 		return 0, false
 	}
-	left = r.barredAt.Add(s.config.Hold).Sub(now)
+	left = r.barredAt.Add(s.config.BlockDuration).Sub(now)
 	return left, left > 0
 }
 
 // Handle takes in an event and returns what has to be done; the slice is valid until the next call.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = s.effects[:0]
-	if s.config.Crashes == 0 {
+	if s.config.CrashThreshold == 0 {
 		return nil
 	}
 	switch ev := ev.(type) {
-	case Crashed:
+	case CrashObserved:
 		s.crashed(now, ev)
-	case Survived:
+	case RequestCompleted:
 		if s.clear(now, ev.Content, true) {
-			s.do(TellSurvived(ev))
+			s.do(BroadcastCompletion(ev))
 		}
-	case Heard:
+	case CrashReported:
 		s.heard(now, ev)
-	case HeardSurvived:
+	case CompletionReported:
 		s.clear(now, ev.Content, false)
-	case Recorded:
+	case RowsUpdated:
 		s.recorded(now, ev.Rows)
 	case Tick:
-		s.tick(now, ev.Reads)
+		s.tick(now, ev.ReadsStore)
 	}
 	return s.effects
 }
@@ -130,7 +130,7 @@
 }
 
 // crashed counts a crash that this node saw, and tells the others.
-func (s *State) crashed(now time.Time, ev Crashed) {
+func (s *State) crashed(now time.Time, ev CrashObserved) {
 	r := s.record(ev.Content)
 	if r == nil {
 		return
@@ -138,42 +138,42 @@
 	crash := Crash{Upstream: ev.Upstream, Incarnation: ev.Incarnation}
 	for i := slices.Index(r.crashes, crash); i >= 0; i = slices.Index(r.crashes, crash) {
 		if now.Sub(r.seen[i]) < sameLife {
-			s.do(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSameLife})
+			s.do(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSameCrash})
 			return
 		}
-		crash.Again++
+		crash.EarlierCrashes++
 	}
 	if r.fellTogether(now) && !ev.SentAt.After(r.since) {
-		s.do(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonTogether})
+		s.do(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSimultaneous})
 		return
 	}
 	if s.add(now, ev.Content, r, crash) {
 		r.own, r.by = true, ""
-		s.do(Tell{Content: ev.Content, Crash: crash})
+		s.do(BroadcastCrash{Content: ev.Content, Crash: crash})
 	}
 }
 
 // heard counts a crash that another node knows. One that was still sent a barred content is told what it does not know.
-func (s *State) heard(now time.Time, ev Heard) {
+func (s *State) heard(now time.Time, ev CrashReported) {
 	r := s.record(ev.Content)
 	if r == nil || slices.Contains(r.crashes, ev.Crash) {
 		return
 	}
-	if _, barred := s.Barred(now, ev.Content); barred {
-		if ev.Next && now.Sub(r.toldAt) >= tellAgain {
+	if _, barred := s.Blocked(now, ev.Content); barred {
+		if ev.FromNeighbour && now.Sub(r.toldAt) >= tellAgain {
 			r.toldAt = now
 			for _, crash := range r.crashes {
-				s.do(Tell{Content: ev.Content, Crash: crash})
+				s.do(BroadcastCrash{Content: ev.Content, Crash: crash})
 			}
 		}
 		return
 	}
-	if r.fellTogether(now) && ev.By != r.by {
-		s.do(Dismiss{Content: ev.Content, Crash: ev.Crash, Reason: ReasonTogether})
+	if r.fellTogether(now) && ev.Origin != r.by {
+		s.do(Dismiss{Content: ev.Content, Crash: ev.Crash, Reason: ReasonSimultaneous})
 		return
 	}
 	if s.add(now, ev.Content, r, ev.Crash) {
-		r.by = ev.By
+		r.by = ev.Origin
 	}
 }
 
@@ -186,16 +186,16 @@
 
 // add counts a crash that is not known yet, and bars the content where there are enough; it reports whether the crash counts.
 func (s *State) add(now time.Time, content vaneyoke.ContentID, r *record, crash Crash) bool {
-	if len(r.crashes) >= s.config.Crashes {
-		s.do(Dismiss{Content: content, Crash: crash, Reason: ReasonBarred})
+	if len(r.crashes) >= s.config.CrashThreshold {
+		s.do(Dismiss{Content: content, Crash: crash, Reason: ReasonBlocked})
 		return false
 	}
 	r.crashes, r.seen = append(r.crashes, crash), append(r.seen, now)
 	r.since = now
 	s.wake(now)
-	if len(r.crashes) == s.config.Crashes && r.barredAt.IsZero() {
+	if len(r.crashes) == s.config.CrashThreshold && r.barredAt.IsZero() {
 		r.barredAt = now
-		s.do(Bar{Content: content, Crashes: r.crashes})
+		s.do(Block{Content: content, Crashes: r.crashes})
 	}
 	return true
 }
@@ -213,7 +213,7 @@
 // reset begins anew with a content; the row that the store has of it counts no more.
 func (s *State) reset(now time.Time, content vaneyoke.ContentID, r *record, removes bool) {
 	if !r.barredAt.IsZero() {
-		s.do(Lift{Content: content})
+		s.do(Unblock{Content: content})
 	}
 	if r.revision == 0 {
 		delete(s.records, content)
@@ -245,7 +245,7 @@
 			continue
 		}
 		if r.stored > 0 && !r.barredAt.IsZero() { // whoever removed it knows that it was answered, or that its time is over
-			s.do(Lift{Content: content})
+			s.do(Unblock{Content: content})
 		}
 		delete(s.records, content)
 	}
@@ -270,7 +270,7 @@
 
 func (s *State) isOver(now time.Time, r *record) bool {
 	if !r.barredAt.IsZero() {
-		return now.Sub(r.barredAt) >= s.config.Hold
+		return now.Sub(r.barredAt) >= s.config.BlockDuration
 	}
 	return now.Sub(r.since) >= innocent
 }
@@ -282,7 +282,7 @@
 	}
 	r.writeAt = now.Add(writeWait)
 	s.wake(r.writeAt)
-	s.do(Remove{Content: content, Revision: r.cleared})
+	s.do(RemoveRow{Content: content, Revision: r.cleared})
 }
 
 // write has a content's row hold what is known of it. The nodes that saw a crash write it, and who reads the store where they have
@@ -304,7 +304,7 @@
 	}
 	r.writeAt = now.Add(writeWait)
 	s.wake(r.writeAt)
-	s.do(Write{Row: Row{Content: content, Crashes: slices.Clone(r.crashes), Revision: r.revision}})
+	s.do(WriteRow{Row: Row{Content: content, Crashes: slices.Clone(r.crashes), Revision: r.revision}})
 }
 
 func maxTime(a, b time.Time) time.Time {
--- a/decide/quarantine/world_test.go
+++ b/decide/quarantine/world_test.go
@@ -133,7 +133,7 @@
 func (w *world) start(i int, after time.Duration) {
 	n := w.nodes[i]
 	n.life++
-	n.state = quarantine.New(quarantine.Config{Crashes: 3, Hold: time.Hour})
+	n.state = quarantine.New(quarantine.Config{CrashThreshold: 3, BlockDuration: time.Hour})
 	n.gossip = gossip.New(n.vm, uint64(n.life)<<32)
 	n.upAt, n.troubled, n.rows = w.now.Add(after), w.now.Add(after), nil
 	life := n.life
@@ -186,8 +186,8 @@
 		if at := n.gossip.Next(); !at.IsZero() && !w.now.Before(at) {
 			w.gossip(i, gossip.Tick{})
 		}
-		if at := n.state.Next(); !at.IsZero() && !w.now.Before(at) {
-			w.handle(i, quarantine.Tick{Reads: i == w.reader && !n.cut})
+		if at := n.state.NextTick(); !at.IsZero() && !w.now.Before(at) {
+			w.handle(i, quarantine.Tick{ReadsStore: i == w.reader && !n.cut})
 		}
 	}
 	w.begin()
@@ -222,7 +222,7 @@
 	if !w.runs(i) {
 		return
 	}
-	if _, barred := n.state.Barred(w.now, poison); barred {
+	if _, barred := n.state.Blocked(w.now, poison); barred {
 		return
 	}
 	w.sendOn(i)
@@ -261,7 +261,7 @@
 	w.crashes = append(w.crashes, w.now)
 	lost := w.end(s.upstream)
 	w.lose(s.node, poison, lost, s.sentAt)
-	if _, barred := w.nodes[s.node].state.Barred(w.now, poison); !barred && w.runs(s.node) {
+	if _, barred := w.nodes[s.node].state.Blocked(w.now, poison); !barred && w.runs(s.node) {
 		w.sendOn(s.node) // the same request goes on
 	}
 }
@@ -296,18 +296,18 @@
 		if w.nodes[i].life != life || !w.runs(i) {
 			return
 		}
-		if _, barred := w.nodes[i].state.Barred(w.now, content); barred {
+		if _, barred := w.nodes[i].state.Blocked(w.now, content); barred {
 			w.wronged = append(w.wronged, string(content))
 			return
 		}
-		w.handle(i, quarantine.Survived{Content: content})
+		w.handle(i, quarantine.RequestCompleted{Content: content})
 	})
 }
 
 // lose tells a node that an upstream ended as it began to run a request of its.
 func (w *world) lose(i int, content vaneyoke.ContentID, lost upstream, sentAt time.Time) {
 	tell := func() {
-		w.handle(i, quarantine.Crashed{Content: content, Upstream: lost.id, Incarnation: lost.born, SentAt: sentAt})
+		w.handle(i, quarantine.CrashObserved{Content: content, Upstream: lost.id, Incarnation: lost.born, SentAt: sentAt})
 	}
 	if w.now.Before(w.nodes[i].frozen) {
 		life := w.nodes[i].life
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -33,7 +33,7 @@
 // heard takes in what another node saw: of an upstream, or of what a request did to one.
 func (b *gatewayPlacer) heard(s gossip.Sighting) {
 	if s.Kind.OfRun() {
-		b.crashes.Heard(s)
+		b.crashes.RecordGossip(s)
 		return
 	}
 	b.Heard(s)
@@ -53,7 +53,7 @@
 
 // Permit looks for a permit to send something to an upstream.
 func (b *gatewayPlacer) Permit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
-	return relay.Permit(b.limits.Permit(ctx, id))
+	return relay.Permit(b.limits.AcquirePermit(ctx, id))
 }
 
 // Withheld notes that there was none for an attempt that had been placed.
--- a/shell/mesh/datagram.go
+++ b/shell/mesh/datagram.go
@@ -41,7 +41,7 @@
 		n.sendMessage(member, typeLimits, m)
 		return
 	}
-	sendInParts(n, member, typeLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{By: m.By, Notices: part} })
+	sendInParts(n, member, typeLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{From: m.From, Notices: part} })
 }
 
 // sendInParts sends items in as many datagrams as needed, since nodes receive only maxDatagramBytes of each, and returns the number of items
--- a/shell/pushbacks/node.go
+++ b/shell/pushbacks/node.go
@@ -53,7 +53,7 @@
 }
 
 // Sending takes in that something goes to an upstream.
-func (n *Node) Sending(now time.Time, upstream vaneyoke.UpstreamID, kind forward.Kind) {
+func (n *Node) RecordSent(now time.Time, upstream vaneyoke.UpstreamID, kind forward.Kind) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.sent[upstream]
@@ -73,7 +73,7 @@
 }
 
 // Answered takes in what an upstream said of itself.
-func (n *Node) Answered(now time.Time, upstream vaneyoke.Upstream, signals forward.Signals) {
+func (n *Node) RecordSignals(now time.Time, upstream vaneyoke.Upstream, signals forward.Signals) {
 	if signals.Unreadable != "" {
 		n.tellUnreadable(now, upstream.ID, signals.Unreadable)
 	}
--- a/shell/pushbacks/node_test.go
+++ b/shell/pushbacks/node_test.go
@@ -28,11 +28,11 @@
 	u := vaneyoke.Upstream{ID: "u1", URL: "http://u1", Incarnation: 5}
 	sending := func(after time.Duration, kind forward.Kind) {
 		holds.now = now.Add(after)
-		n.Sending(holds.now, u.ID, kind)
+		n.RecordSent(holds.now, u.ID, kind)
 	}
 	answered := func(after time.Duration, signals forward.Signals) {
 		holds.now = now.Add(after)
-		n.Answered(holds.now, u, signals)
+		n.RecordSignals(holds.now, u, signals)
 	}
 	sending(0, forward.KindFirst)
 	answered(0, forward.Signals{Pushback: 3 * time.Second})
--- a/shell/quarantines/node.go
+++ b/shell/quarantines/node.go
@@ -35,7 +35,7 @@
 }
 
 // Teller tells the other nodes.
-type Teller interface {
+type Broadcaster interface {
 	// SeenRun tells what a request did to an upstream.
 	SeenRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run)
 }
@@ -44,7 +44,7 @@
 type Node struct {
 	store   Store
 	reader  Reader
-	teller  Teller
+	teller  Broadcaster
 	bar     func(vaneyoke.ContentID) // ends what is under way of a content
 	metrics *Metrics
 	log     logrus.FieldLogger
@@ -67,18 +67,18 @@
 }
 
 // New returns a node's part in the quarantine.
-func New(config quarantine.Config, store Store, reader Reader, teller Teller, metrics *Metrics, log logrus.FieldLogger) *Node {
+func New(config quarantine.Config, store Store, reader Reader, teller Broadcaster, metrics *Metrics, log logrus.FieldLogger) *Node {
 	n := &Node{
 		store: store, reader: reader, teller: teller, bar: func(vaneyoke.ContentID) {}, metrics: metrics, log: log,
 		calls: background.New(mostCalls, storeWait), state: quarantine.New(config),
 	}
-	n.timer = time.AfterFunc(time.Hour, func() { n.handle(quarantine.Tick{Reads: n.reader.Reads()}) })
+	n.timer = time.AfterFunc(time.Hour, func() { n.handle(quarantine.Tick{ReadsStore: n.reader.Reads()}) })
 	n.timer.Stop()
 	return n
 }
 
 // NewAlone returns the part of a node that keeps what it knows to itself.
-func NewAlone(config quarantine.Config, metrics *Metrics, log logrus.FieldLogger) *Node {
+func NewStandalone(config quarantine.Config, metrics *Metrics, log logrus.FieldLogger) *Node {
 	return New(config, alone{}, alone{}, alone{}, metrics, log)
 }
 
@@ -91,7 +91,7 @@
 func (alone) SeenRun(vaneyoke.UpstreamID, gossip.Kind, gossip.Run)                {}
 
 // OnBar sets what ends the requests under way of a content that is barred; it is called once, before the node serves.
-func (n *Node) OnBar(bar func(vaneyoke.ContentID)) { n.bar = bar }
+func (n *Node) OnBlock(bar func(vaneyoke.ContentID)) { n.bar = bar }
 
 // Close ends the node's part.
 func (n *Node) Close() {
@@ -102,13 +102,13 @@
 }
 
 // Crashed takes in that an upstream ended as it began to run a request of this node, which was sent to it at a time.
-func (n *Node) Crashed(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+func (n *Node) RecordCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	n.metrics.counts.Add("crashes_seen_total", 1)
-	n.handle(quarantine.Crashed{Content: content, Upstream: upstream.ID, Incarnation: upstream.Incarnation, SentAt: sentAt})
+	n.handle(quarantine.CrashObserved{Content: content, Upstream: upstream.ID, Incarnation: upstream.Incarnation, SentAt: sentAt})
 }
 
 // Outlived takes in that an upstream goes on which has lost a request of this node as it began to run it.
-func (n *Node) Outlived(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+func (n *Node) RecordLossWithoutCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	n.metrics.counts.Add("losses_outlived_total", 1)
 	n.log.WithFields(logrus.Fields{
 		"content": content, "upstream": upstream.ID, "incarnation": uint64(upstream.Incarnation), "age_ms": time.Since(sentAt).Milliseconds(),
@@ -116,38 +116,38 @@
 }
 
 // Survived takes in that an upstream has answered a request of this node in whole.
-func (n *Node) Survived(content vaneyoke.ContentID) {
-	n.handle(quarantine.Survived{Content: content})
+func (n *Node) RecordCompletion(content vaneyoke.ContentID) {
+	n.handle(quarantine.RequestCompleted{Content: content})
 }
 
 // Heard takes in what another node tells.
-func (n *Node) Heard(s gossip.Sighting) {
+func (n *Node) RecordGossip(s gossip.Sighting) {
 	if s.Kind == gossip.KindSurvived {
-		n.handle(quarantine.HeardSurvived{Content: s.Content})
+		n.handle(quarantine.CompletionReported{Content: s.Content})
 		return
 	}
 	n.metrics.counts.Add("crashes_heard_total", 1)
-	n.handle(quarantine.Heard{
-		Content: s.Content, By: s.Origin, Next: s.Hops == 1,
-		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, Again: s.Again},
+	n.handle(quarantine.CrashReported{
+		Content: s.Content, Origin: s.Origin, FromNeighbour: s.Hops == 1,
+		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, EarlierCrashes: s.Again},
 	})
 }
 
 // SetRows takes in the store's rows.
-func (n *Node) SetRows(rows []quarantine.Row) { n.handle(quarantine.Recorded{Rows: rows}) }
+func (n *Node) SetRows(rows []quarantine.Row) { n.handle(quarantine.RowsUpdated{Rows: rows}) }
 
 // Barred reports whether a content is sent to no upstream, and for how long it is not.
-func (n *Node) Barred(content vaneyoke.ContentID) (left time.Duration, barred bool) {
+func (n *Node) Blocked(content vaneyoke.ContentID) (left time.Duration, barred bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.state.Barred(time.Now(), content)
+	return n.state.Blocked(time.Now(), content)
 }
 
 // handle gives an event to the state and carries out what follows; whatever calls out does so without the lock.
 func (n *Node) handle(event quarantine.Event) {
 	n.mu.Lock()
 	effects := append([]quarantine.Effect(nil), n.state.Handle(time.Now(), event)...)
-	if at := n.state.Next(); !at.IsZero() && !n.ended {
+	if at := n.state.NextTick(); !at.IsZero() && !n.ended {
 		n.timer.Reset(time.Until(at))
 	}
 	n.mu.Unlock()
@@ -158,28 +158,28 @@
 
 func (n *Node) carryOut(effect quarantine.Effect) {
 	switch e := effect.(type) {
-	case quarantine.Bar:
+	case quarantine.Block:
 		n.metrics.counts.Add("barred_total", 1)
 		n.log.WithFields(logrus.Fields{"content": e.Content, "crashes": e.Crashes}).Warn("content_barred")
 		n.bar(e.Content)
-	case quarantine.Lift:
+	case quarantine.Unblock:
 		n.metrics.counts.Add("lifted_total", 1)
 		n.log.WithField("content", e.Content).Info("content_admitted")
-	case quarantine.Tell:
+	case quarantine.BroadcastCrash:
 		n.log.WithFields(logrus.Fields{
-			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.Again,
+			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.EarlierCrashes,
 		}).Info("crash_told")
-		n.teller.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.Again})
+		n.teller.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.EarlierCrashes})
 	case quarantine.Dismiss:
 		n.metrics.counts.Add("crashes_dismissed_total", 1)
 		n.log.WithFields(logrus.Fields{
-			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.Again, "reason": e.Reason,
+			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.EarlierCrashes, "reason": e.Reason,
 		}).Info("crash_dismissed")
-	case quarantine.TellSurvived:
+	case quarantine.BroadcastCompletion:
 		n.teller.SeenRun("", gossip.KindSurvived, gossip.Run{Content: e.Content})
-	case quarantine.Write:
+	case quarantine.WriteRow:
 		n.call("crashes_written", e.Row.Content, func(ctx context.Context) error { return n.store.Write(ctx, e.Row) })
-	case quarantine.Remove:
+	case quarantine.RemoveRow:
 		n.call("crashes_removed", e.Content, func(ctx context.Context) error { return n.store.Remove(ctx, e.Content, e.Revision) })
 	}
 }
--- a/shell/ratelimits/account.go
+++ b/shell/ratelimits/account.go
@@ -33,7 +33,7 @@
 }
 
 // Account follows which upstreams name limits, and how much the node sends to them.
-type Account struct {
+type UsageTracker struct {
 	metrics *Metrics
 	log     logrus.FieldLogger
 
@@ -49,12 +49,12 @@
 }
 
 // NewAccount returns an account of a node that knows of no limit.
-func NewAccount(metrics *Metrics, log logrus.FieldLogger) *Account {
-	return &Account{metrics: metrics, log: log, limited: map[vaneyoke.UpstreamID]*sent{}}
+func NewUsageTracker(metrics *Metrics, log logrus.FieldLogger) *UsageTracker {
+	return &UsageTracker{metrics: metrics, log: log, limited: map[vaneyoke.UpstreamID]*sent{}}
 }
 
 // Named takes in that an upstream names a limit, or none any more.
-func (a *Account) Named(now time.Time, upstream vaneyoke.UpstreamID, limit vaneyoke.Limit) {
+func (a *UsageTracker) SetLimit(now time.Time, upstream vaneyoke.UpstreamID, limit vaneyoke.Limit) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.limited[upstream]
@@ -74,7 +74,7 @@
 }
 
 // Sending counts that something goes to an upstream, where it names a limit.
-func (a *Account) Sending(now time.Time, upstream vaneyoke.UpstreamID, kind forward.Kind) {
+func (a *UsageTracker) RecordSent(now time.Time, upstream vaneyoke.UpstreamID, kind forward.Kind) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.limited[upstream]
@@ -89,7 +89,7 @@
 }
 
 // tell logs what has gone to an upstream since the last line.
-func (a *Account) tell(now time.Time, upstream vaneyoke.UpstreamID, s *sent) {
+func (a *UsageTracker) tell(now time.Time, upstream vaneyoke.UpstreamID, s *sent) {
 	a.log.WithFields(logrus.Fields{
 		"upstream": upstream, "rate": s.limit.Rate, "ms": now.Sub(s.since).Milliseconds(),
 		"first": s.kinds[forward.KindFirst], "repeats": s.kinds[forward.KindRepeat], "questions": s.kinds[forward.KindQuestion],
--- a/shell/ratelimits/account_test.go
+++ b/shell/ratelimits/account_test.go
@@ -21,23 +21,23 @@
 	log := logrus.New()
 	log.SetOutput(&out)
 	vars := new(expvar.Map).Init()
-	a := ratelimits.NewAccount(ratelimits.NewMetrics(vars), log)
+	a := ratelimits.NewUsageTracker(ratelimits.NewMetrics(vars), log)
 	now := time.Unix(1000, 0)
 	limit := func(rate vaneyoke.PerSecond) vaneyoke.Limit { return vaneyoke.Limit{Declared: true, Rate: rate} }
-	a.Sending(now, "u1", forward.KindFirst) // nothing is known of it yet
-	a.Named(now, "u1", vaneyoke.Limit{})
-	a.Named(now, "u1", limit(2.8))
-	a.Named(now, "u1", limit(2.8))
+	a.RecordSent(now, "u1", forward.KindFirst) // nothing is known of it yet
+	a.SetLimit(now, "u1", vaneyoke.Limit{})
+	a.SetLimit(now, "u1", limit(2.8))
+	a.SetLimit(now, "u1", limit(2.8))
 	for _, kind := range []forward.Kind{forward.KindFirst, forward.KindFirst, forward.KindRepeat, forward.KindQuestion} {
-		a.Sending(now, "u1", kind)
-		a.Sending(now, "u2", kind)
+		a.RecordSent(now, "u1", kind)
+		a.RecordSent(now, "u2", kind)
 	}
 	must.EqOp(t, "", out.String())
 	now = now.Add(1500 * time.Millisecond)
-	a.Sending(now, "u1", forward.KindRepeat)
+	a.RecordSent(now, "u1", forward.KindRepeat)
 	must.StrContains(t, out.String(), "msg=limit_used first=2 ms=1500 questions=1 rate=2.8 repeats=2 upstream=u1")
-	a.Named(now, "u1", limit(1))
-	a.Named(now, "u1", vaneyoke.Limit{})
+	a.SetLimit(now, "u1", limit(1))
+	a.SetLimit(now, "u1", vaneyoke.Limit{})
 	must.EqOp(t, 2, strings.Count(out.String(), "limit_used"))
 	must.StrContains(t, vars.String(), `"first_sent_total": 2`)
 	must.StrContains(t, vars.String(), `"named_total": 1`)
--- a/shell/ratelimits/fuzz_test.go
+++ b/shell/ratelimits/fuzz_test.go
@@ -37,11 +37,11 @@
 		for _, text := range [][]byte{first, second} {
 			var m ratelimits.Message
 			if json.Unmarshal(text, &m) == nil {
-				n.Take(m)
+				n.HandleMessage(m)
 			}
 		}
 		for _, id := range []vaneyoke.UpstreamID{"u1", "u2"} {
-			p := n.Permit(t.Context(), id)
+			p := n.AcquirePermit(t.Context(), id)
 			if p.Next < 0 || p.Turn < 0 || p.Turn > 10*time.Second {
 				t.Fatal(p)
 			}
--- a/shell/ratelimits/node.go
+++ b/shell/ratelimits/node.go
@@ -39,10 +39,10 @@
 
 // Message is what nodes say to one another of limits: one of its parts.
 type Message struct {
-	By       vaneyoke.VMID             `json:"by"`
+	From     vaneyoke.VMID             `json:"by"`
 	Notices  []ratelimit.Notice        `json:"notices,omitempty"`
-	Question *ratelimit.PermitRequest  `json:"question,omitempty"`
-	Answer   *ratelimit.PermitResponse `json:"answer,omitempty"`
+	Request  *ratelimit.PermitRequest  `json:"question,omitempty"`
+	Response *ratelimit.PermitResponse `json:"answer,omitempty"`
 }
 
 // Permit is what became of a permit that was wanted.
@@ -58,7 +58,7 @@
 	messenger Messenger
 	store     Store
 	calls     *background.Calls // to the store
-	account   *Account
+	account   *UsageTracker
 	metrics   *Metrics
 	log       logrus.FieldLogger
 	believe   func(upstream vaneyoke.UpstreamID, limit vaneyoke.Limit)
@@ -77,7 +77,7 @@
 	metrics *Metrics, log logrus.FieldLogger,
 ) *Node {
 	n := &Node{
-		self: self, messenger: messenger, store: store, calls: background.New(mostCalls, storeWait), account: NewAccount(metrics, log), metrics: metrics, log: log, believe: believe,
+		self: self, messenger: messenger, store: store, calls: background.New(mostCalls, storeWait), account: NewUsageTracker(metrics, log), metrics: metrics, log: log, believe: believe,
 		state:   ratelimit.New(self, dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		waiting: map[ratelimit.PermitID]chan Permit{},
 	}
@@ -107,25 +107,25 @@
 func (n *Node) SetRows(rows []ratelimit.Row) { n.handle(ratelimit.RowsUpdated{Rows: rows}) }
 
 // Sending takes in that something goes to an upstream.
-func (n *Node) Sending(upstream vaneyoke.Upstream, kind forward.Kind) {
-	n.account.Sending(steady.Now(), upstream.ID, kind)
+func (n *Node) RecordSent(upstream vaneyoke.Upstream, kind forward.Kind) {
+	n.account.RecordSent(steady.Now(), upstream.ID, kind)
 }
 
 // Answered takes in the limit that an upstream named in its answer to a request of this node.
-func (n *Node) Answered(upstream vaneyoke.Upstream, limit vaneyoke.Limit, sentAt time.Time) {
+func (n *Node) RecordLimit(upstream vaneyoke.Upstream, limit vaneyoke.Limit, sentAt time.Time) {
 	n.handle(ratelimit.LimitObserved{Upstream: upstream, Limit: limit, SentAt: sentAt})
 }
 
 // Take takes in what another node says.
-func (n *Node) Take(m Message) {
+func (n *Node) HandleMessage(m Message) {
 	switch {
-	case m.By == n.self || m.By == "":
-	case m.Question != nil:
-		n.handle(ratelimit.PermitRequested{From: m.By, Request: *m.Question})
-	case m.Answer != nil:
-		n.handle(ratelimit.PermitResponded{From: m.By, Response: *m.Answer})
+	case m.From == n.self || m.From == "":
+	case m.Request != nil:
+		n.handle(ratelimit.PermitRequested{From: m.From, Request: *m.Request})
+	case m.Response != nil:
+		n.handle(ratelimit.PermitResponded{From: m.From, Response: *m.Response})
 	case len(m.Notices) > 0:
-		n.handle(ratelimit.NoticesReceived{From: m.By, Notices: m.Notices})
+		n.handle(ratelimit.NoticesReceived{From: m.From, Notices: m.Notices})
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // Permit looks for a permit to send something to an upstream; one that is granted must be used at once.
-func (n *Node) Permit(ctx context.Context, upstream vaneyoke.UpstreamID) Permit {
+func (n *Node) AcquirePermit(ctx context.Context, upstream vaneyoke.UpstreamID) Permit {
 	decided := make(chan Permit, 1)
 	n.mu.Lock()
 	n.last++
@@ -193,13 +193,13 @@
 	switch e := effect.(type) {
 	case ratelimit.SendNotices:
 		n.metrics.counts.Add("notices_told_total", int64(len(e.Notices)))
-		n.messenger.SendLimits(e.To, Message{By: n.self, Notices: e.Notices})
+		n.messenger.SendLimits(e.To, Message{From: n.self, Notices: e.Notices})
 	case ratelimit.SendPermitRequest:
 		n.metrics.counts.Add("questions_total", 1)
-		n.messenger.SendLimits(e.To, Message{By: n.self, Question: &e.Request})
+		n.messenger.SendLimits(e.To, Message{From: n.self, Request: &e.Request})
 	case ratelimit.SendPermitResponse:
 		n.metrics.counts.Add("answers_total", 1)
-		n.messenger.SendLimits(e.To, Message{By: n.self, Answer: &e.Response})
+		n.messenger.SendLimits(e.To, Message{From: n.self, Response: &e.Response})
 	case ratelimit.CheckLiveness:
 		go n.messenger.TakeOffIfGone(e.VM)
 	case ratelimit.WriteRow:
@@ -218,7 +218,7 @@
 }
 
 func (n *Node) believeLocked(now time.Time, e ratelimit.LimitUpdated) {
-	n.account.Named(now, e.Notice.Upstream, e.Notice.Limit)
+	n.account.SetLimit(now, e.Notice.Upstream, e.Notice.Limit)
 	n.believe(e.Notice.Upstream, e.Notice.Limit)
 	n.log.WithFields(logrus.Fields{
 		"upstream": e.Notice.Upstream, "incarnation": uint64(e.Notice.Incarnation), "named": e.Notice.Limit.Declared, "rate": e.Notice.Limit.Rate,
--- a/shell/ratelimits/node_test.go
+++ b/shell/ratelimits/node_test.go
@@ -42,9 +42,9 @@
 	defer n.Close()
 	upstream := vaneyoke.Upstream{ID: "u1"}
 	var answers sync.WaitGroup
-	answers.Go(func() { n.Answered(upstream, vaneyoke.Limit{Declared: true, Rate: 2.8}, time.Now()) })
+	answers.Go(func() { n.RecordLimit(upstream, vaneyoke.Limit{Declared: true, Rate: 2.8}, time.Now()) })
 	<-entered
-	answers.Go(func() { n.Answered(upstream, vaneyoke.Limit{}, time.Now()) })
+	answers.Go(func() { n.RecordLimit(upstream, vaneyoke.Limit{}, time.Now()) })
 	answers.Wait()
 	must.False(t, n.Limited("u1"))
 	must.Eq(t, []bool{true, false}, told)
