--- a/decide/quarantine/doc.go
+++ b/decide/quarantine/doc.go
@@ -1,2 +1,3 @@
-// Package quarantine decides, without I/O, which requests are sent to no upstream any more because upstreams end as they run them.
+// Package quarantine decides, without I/O, which contents of requests (see vaneyoke.ContentID) are blocked: upstreams have crashed repeatedly as
+// they began to run them, so no upstream gets them for a while.
 package quarantine
--- a/decide/quarantine/event.go
+++ b/decide/quarantine/event.go
@@ -6,74 +6,74 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Crash is the end of one life of an upstream as it began to run a request.
+// Crash is a crash of an upstream that had just begun to run a request.
 type Crash struct {
 	Upstream    vaneyoke.UpstreamID  `json:"upstream"`
-	Incarnation vaneyoke.Incarnation `json:"incarnation,omitempty"` // 0 where the upstream does not tell
-	// Again counts the lives that ended before under the same incarnation: an upstream that runs anew has begun another life,
-	// also where its entry does not say so yet.
-	Again int `json:"again,omitempty"`
+	Incarnation vaneyoke.Incarnation `json:"incarnation,omitempty"` // 0 if the upstream does not report it
+	// EarlierCrashes counts the earlier crashes of the upstream under the same incarnation. An upstream that runs requests again has restarted, even
+	// if its list entry does not show a new incarnation yet.
+	EarlierCrashes int `json:"again,omitempty"`
 }
 
-// Row is what the store holds of a content.
+// Row is the store's row of a content.
 type Row struct {
 	Content  vaneyoke.ContentID
 	Crashes  []Crash
 	Revision vaneyoke.Revision
 }
 
-// Event is something that a node learns.
+// Event is an input of State.Handle.
 type Event interface{ event() }
 
-// Crashed says that an upstream ended as it began to run a request of this node.
-type Crashed struct {
+// CrashObserved reports that an upstream crashed as it began to run a request of this node.
+type CrashObserved struct {
 	Content     vaneyoke.ContentID
 	Upstream    vaneyoke.UpstreamID
 	Incarnation vaneyoke.Incarnation
-	SentAt      time.Time // when the request was sent to it
+	SentAt      time.Time // when the request was sent to the upstream
 }
 
-// Survived says that an upstream has answered a request of this node in whole.
-type Survived struct{ Content vaneyoke.ContentID }
+// RequestCompleted reports that an upstream has completely answered a request of this node.
+type RequestCompleted struct{ Content vaneyoke.ContentID }
 
-// Heard tells of a crash that another node knows.
-type Heard struct {
-	Content vaneyoke.ContentID
-	Crash   Crash
-	By      vaneyoke.VMID // that saw it
-	Next    bool          // whether that node is next to this one
+// CrashReported reports a crash that another node knows of.
+type CrashReported struct {
+	Content       vaneyoke.ContentID
+	Crash         Crash
+	Origin        vaneyoke.VMID // the node that observed the crash
+	FromNeighbour bool          // whether that node is a neighbour of this one in the tree
 }
 
-// HeardSurvived says that another node had a request answered in whole.
-type HeardSurvived struct{ Content vaneyoke.ContentID }
+// CompletionReported reports that an upstream has completely answered a request of another node.
+type CompletionReported struct{ Content vaneyoke.ContentID }
 
-// Recorded tells all rows of the store.
-type Recorded struct{ Rows []Row }
+// RowsUpdated reports all rows of the store.
+type RowsUpdated struct{ Rows []Row }
 
-// Tick says that the time has come that State.Next told; Reads says whether this node reads the store for others.
-type Tick struct{ Reads bool }
+// Tick reports that the time returned by State.NextTick has come. ReadsStore says whether this node reads the store for other nodes.
+type Tick struct{ ReadsStore bool }
 
-func (Crashed) event()       {}
-func (Survived) event()      {}
-func (Heard) event()         {}
-func (HeardSurvived) event() {}
-func (Recorded) event()      {}
-func (Tick) event()          {}
+func (CrashObserved) event()      {}
+func (RequestCompleted) event()   {}
+func (CrashReported) event()      {}
+func (CompletionReported) event() {}
+func (RowsUpdated) event()        {}
+func (Tick) event()               {}
 
-// Effect is something that the node has to do.
+// Effect is an action that State.Handle asks its caller to carry out.
 type Effect interface{ effect() }
 
-// Bar says that a content is sent to no upstream from now on.
-type Bar struct {
+// Block reports that no upstream gets the content from now on.
+type Block struct {
 	Content vaneyoke.ContentID
 	Crashes []Crash
 }
 
-// Lift says that a content is barred no more.
-type Lift struct{ Content vaneyoke.ContentID }
+// Unblock reports that the content is no longer blocked.
+type Unblock struct{ Content vaneyoke.ContentID }
 
-// Tell has the node tell the others of a crash.
-type Tell struct {
+// BroadcastCrash reports a crash to the other nodes.
+type BroadcastCrash struct {
 	Content vaneyoke.ContentID
 	Crash   Crash
 }
@@ -81,36 +81,36 @@
 // Reason says why a crash does not count.
 type Reason string
 
-// The reasons.
+// The reasons for which a crash does not count.
 const (
-	ReasonSameLife Reason = "same_life" // two losses at an upstream that has ended once
-	ReasonTogether Reason = "together"  // the upstream fell with another, which counts
-	ReasonBarred   Reason = "barred"    // enough crashes are known
+	ReasonSameCrash    Reason = "same_life" // another request was lost in a crash that is already counted
+	ReasonSimultaneous Reason = "together"  // the upstream crashed together with another one, whose crash is counted
+	ReasonBlocked      Reason = "barred"    // the threshold is already reached
 )
 
-// Dismiss says that a crash does not count.
+// Dismiss reports that a crash does not count.
 type Dismiss struct {
 	Content vaneyoke.ContentID
 	Crash   Crash
 	Reason  Reason
 }
 
-// TellSurvived has the node tell the others that a content is innocent.
-type TellSurvived struct{ Content vaneyoke.ContentID }
+// BroadcastCompletion reports to the other nodes that a request was completely answered, so that its content did not cause the crashes.
+type BroadcastCompletion struct{ Content vaneyoke.ContentID }
 
-// Write has the node write a content's crashes where its row has a revision, 0 for no row.
-type Write struct{ Row Row }
+// WriteRow writes the crashes of a content if its row has the given revision, 0 for no row.
+type WriteRow struct{ Row Row }
 
-// Remove has the node remove a content's row of a revision.
-type Remove struct {
+// RemoveRow removes the row of a content if it has the given revision.
+type RemoveRow struct {
 	Content  vaneyoke.ContentID
 	Revision vaneyoke.Revision
 }
 
-func (Bar) effect()          {}
-func (Lift) effect()         {}
-func (Tell) effect()         {}
-func (Dismiss) effect()      {}
-func (TellSurvived) effect() {}
-func (Write) effect()        {}
-func (Remove) effect()       {}
+func (Block) effect()               {}
+func (Unblock) effect()             {}
+func (BroadcastCrash) effect()      {}
+func (Dismiss) effect()             {}
+func (BroadcastCompletion) effect() {}
+func (WriteRow) effect()            {}
+func (RemoveRow) effect()           {}
--- a/decide/quarantine/fleet_test.go
+++ b/decide/quarantine/fleet_test.go
@@ -9,86 +9,88 @@
 	"github.com/shoenig/test/must"
 )
 
-const lasts = 24 * time.Second
+const simulatedTime = 24 * time.Second
 
-var worldSeeds = flag.Uint64("worlds", 1, "worlds of each kind that are played")
+var seeds = flag.Uint64("worlds", 1, "simulations of each scenario")
 
-// every returns a trouble that strikes at a time and each so often after it.
-func every(from, pause time.Duration, strike func(w *world, round int)) func(w *world) {
-	return func(w *world) {
-		if since := w.since(); since >= from && (since-from)%pause == 0 {
-			strike(w, int((since-from)/pause))
+// repeat returns a scenario that injects a fault at a given time and at every interval after it.
+func repeat(from, interval time.Duration, inject func(sim *simulation, round int)) func(sim *simulation) {
+	return func(sim *simulation) {
+		if elapsed := sim.elapsed(); elapsed >= from && (elapsed-from)%interval == 0 {
+			inject(sim, int((elapsed-from)/interval))
 		}
 	}
 }
 
-// third returns each third node, from one on.
-func third(w *world, from int) (all []int) {
-	for i := from % 3; i < len(w.nodes); i += 3 {
+// everyThird returns every third node, beginning with the given one.
+func everyThird(sim *simulation, from int) (all []int) {
+	for i := from % 3; i < len(sim.nodes); i += 3 {
 		all = append(all, i)
 	}
 	return all
 }
 
-func all(w *world) (all []int) {
-	for i := range w.nodes {
+func allNodes(sim *simulation) (all []int) {
+	for i := range sim.nodes {
 		all = append(all, i)
 	}
 	return all
 }
 
-var troubles = map[string]func(w *world){
-	"none":                 func(*world) {},
-	"all nodes end":        every(time.Second, 5*time.Second, func(w *world, _ int) { w.kill(all(w)...) }),
-	"a third ends in turn": every(time.Second, 1500*time.Millisecond, func(w *world, round int) { w.kill(third(w, round)...) }),
-	"a third stands still": every(time.Second, 4*time.Second, func(w *world, round int) { w.freeze(3*time.Second, third(w, round)...) }),
-	"a third is cut off": every(time.Second, 3*time.Second, func(w *world, round int) {
-		w.setCut(false, third(w, round+1)...)
-		w.setCut(round < 5, third(w, round+2)...)
+var scenarios = map[string]func(sim *simulation){
+	"none":                                  func(*simulation) {},
+	"all nodes restart":                     repeat(time.Second, 5*time.Second, func(sim *simulation, _ int) { sim.restartNodes(allNodes(sim)...) }),
+	"a third of the nodes restarts in turn": repeat(time.Second, 1500*time.Millisecond, func(sim *simulation, round int) { sim.restartNodes(everyThird(sim, round)...) }),
+	"a third of the nodes is frozen":        repeat(time.Second, 4*time.Second, func(sim *simulation, round int) { sim.freeze(3*time.Second, everyThird(sim, round)...) }),
+	"a third of the nodes is partitioned": repeat(time.Second, 3*time.Second, func(sim *simulation, round int) {
+		sim.setPartitioned(false, everyThird(sim, round+1)...)
+		sim.setPartitioned(round < 5, everyThird(sim, round+2)...)
 	}),
-	"nodes are added": every(2*time.Second, 2*time.Second, func(w *world, _ int) { w.add() }),
-	"the store is away": every(step, 4*time.Second, func(w *world, round int) {
-		w.setStore(round%2 == 0 && round < 4)
+	"nodes are added": repeat(2*time.Second, 2*time.Second, func(sim *simulation, _ int) { sim.addNode() }),
+	"the store is unavailable": repeat(step, 4*time.Second, func(sim *simulation, round int) {
+		sim.setStoreDown(round%2 == 0 && round < 4)
 	}),
-	"the store is away and all nodes end": func(w *world) {
-		w.setStore(w.since() > 3*time.Second && w.since() < 8*time.Second)
-		every(5*time.Second, time.Hour, func(w *world, _ int) { w.kill(all(w)...) })(w)
+	"the store is unavailable and all nodes restart": func(sim *simulation) {
+		sim.setStoreDown(sim.elapsed() > 3*time.Second && sim.elapsed() < 8*time.Second)
+		repeat(5*time.Second, time.Hour, func(sim *simulation, _ int) { sim.restartNodes(allNodes(sim)...) })(sim)
 	},
-	"the store is away and the reader ends": func(w *world) {
-		w.setStore(w.since() < 6*time.Second)
-		every(5*time.Second, 2*time.Second, func(w *world, _ int) { w.kill(w.reader) })(w)
+	"the store is unavailable and the reader restarts": func(sim *simulation) {
+		sim.setStoreDown(sim.elapsed() < 6*time.Second)
+		repeat(5*time.Second, 2*time.Second, func(sim *simulation, _ int) { sim.restartNodes(sim.reader) })(sim)
 	},
-	"upstreams are lost for other reasons": every(time.Second, 2*time.Second, func(w *world, round int) {
-		for i := range w.upstreams {
-			if i%3 == round%3 && !w.now.Before(w.upstreams[i].upAt) {
-				w.end(i)
+	"upstreams crash for other reasons": repeat(time.Second, 2*time.Second, func(sim *simulation, round int) {
+		for i := range sim.upstreams {
+			if i%3 == round%3 && !sim.now.Before(sim.upstreams[i].upAt) {
+				sim.restartUpstream(i)
 			}
 		}
 	}),
 }
 
-// TestFleets has a request that ends the upstreams which begin to run it come again and again at any node, on fleets of four sizes and in
-// troubles: it is sent on three times at the most by nodes that were not disturbed for 3 s, later than 3 s after its third crash; no innocent
-// request is barred; and what nodes tell and write does not grow with their number.
-func TestFleets(t *testing.T) {
+// TestCrashingContentIsBlocked sends a request that crashes every upstream which begins to run it to random nodes again and again, with fleets of
+// four sizes and under faults. Once three seconds have passed since the third crash, nodes that were undisturbed for three seconds send it at most
+// three times in all. No bystander request is blocked, and neither datagrams nor writes grow with the number of nodes.
+func TestCrashingContentIsBlocked(t *testing.T) {
 	for _, nodes := range []int{1, 7, 90, 1043} {
-		for name, strike := range troubles {
-			for _, kind := range []string{"new ids", "same ids", "same ids untold"} {
+		for name, inject := range scenarios {
+			for _, kind := range []string{"new ids", "same ids", "same ids without incarnation"} {
 				if nodes == 1043 && kind != "same ids" {
 					continue
 				}
 				t.Run(fmt.Sprintf("%d/%s/%s", nodes, name, kind), func(t *testing.T) {
 					t.Parallel()
-					for seed := range *worldSeeds {
-						w := newWorld(seed, nodes, func(w *world) { w.sameIDs, w.silent = kind != "new ids", kind == "same ids untold" })
-						w.run(lasts, func() { strike(w) })
+					for seed := range *seeds {
+						sim := newSimulation(seed, nodes, func(sim *simulation) {
+							sim.sameIDs, sim.hidesIncarnation = kind != "new ids", kind == "same ids without incarnation"
+						})
+						sim.run(simulatedTime, func() { inject(sim) })
 						if seed == 0 {
-							t.Logf("%d sends, %d crashes, %d later; %d innocent requests lost, %d datagrams (busiest %d), %d writes",
-								w.sent, len(w.crashes), w.later, w.innocents, w.datagrams, w.busiest, w.writes)
+							t.Logf("%d sends, %d crashes, %d late sends; %d bystander requests lost, %d datagrams (at most %d by one node), %d writes",
+								sim.sent, len(sim.crashes), sim.lateSends, sim.bystanders, sim.datagrams, sim.maxPerNode, sim.writes)
 						}
-						must.LessEq(t, 3, w.later, must.Sprint("seed ", seed))
-						must.SliceEmpty(t, w.wronged, must.Sprint("seed ", seed))
-						must.GreaterEq(t, 3, len(w.crashes))
+						must.LessEq(t, 3, sim.lateSends, must.Sprint("seed ", seed))
+						must.SliceEmpty(t, sim.wronglyBlocked, must.Sprint("seed ", seed))
+						must.GreaterEq(t, 3, len(sim.crashes))
 					}
 				})
 			}
@@ -96,16 +98,16 @@
 	}
 }
 
-// TestCalmFleet counts what one such request costs a fleet: a handful of upstreams, some datagrams a node, and a few writes.
-func TestCalmFleet(t *testing.T) {
+// TestCostWithoutFaults measures what such a request costs a fleet: a few upstreams, some datagrams per node and a few writes.
+func TestCostWithoutFaults(t *testing.T) {
 	for _, nodes := range []int{7, 90, 1043} {
-		for seed := range 2 * *worldSeeds {
-			w := newWorld(seed, nodes, nil)
-			w.run(lasts, nil)
-			t.Logf("%d nodes: %d crashes, %d sends, %d datagrams (busiest %d), %d writes", nodes, len(w.crashes), w.sent, w.datagrams, w.busiest, w.writes)
-			must.LessEq(t, 12, len(w.crashes))
-			must.LessEq(t, 40, w.writes)
-			must.LessEq(t, 5*(1+2*w.beside)*len(w.crashes), w.busiest) // five neighbours; of each crash the poison's and the innocent ones, and that these survived
+		for seed := range 2 * *seeds {
+			sim := newSimulation(seed, nodes, nil)
+			sim.run(simulatedTime, nil)
+			t.Logf("%d nodes: %d crashes, %d sends, %d datagrams (at most %d by one node), %d writes", nodes, len(sim.crashes), sim.sent, sim.datagrams, sim.maxPerNode, sim.writes)
+			must.LessEq(t, 12, len(sim.crashes))
+			must.LessEq(t, 40, sim.writes)
+			must.LessEq(t, 5*(1+2*sim.bystandersPerCrash)*len(sim.crashes), sim.maxPerNode) // five neighbours; for each crash the poison, the bystanders, and the completion of these
 		}
 	}
 }
--- a/decide/quarantine/state.go
+++ b/decide/quarantine/state.go
@@ -7,109 +7,109 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Config holds the bounds of a quarantine.
+// Config holds the parameters of the quarantine.
 type Config struct {
-	Crashes int           // lives of upstreams that a content has ended when it is barred; 0 for never
-	Hold    time.Duration // how long a content is barred
+	CrashThreshold int           // crashes after which a content is blocked; 0 disables the quarantine
+	BlockDuration  time.Duration // how long a content stays blocked
 }
 
 const (
-	keepFrom  = 2                      // crashes from which a content is written to the store: one alone is most often another's
-	innocent  = 10 * time.Minute       // after which the crashes of a content that is not barred are forgotten
-	sameLife  = time.Second            // within which two losses of a content at an upstream are one crash
-	together  = 100 * time.Millisecond // within which crashes are one: upstreams that fall together fell for another reason
-	writeWait = 500 * time.Millisecond // between two writes of a content
-	readWait  = time.Second            // after which a reader of the store writes what those who saw it have not
-	tellAgain = 500 * time.Millisecond // between two times that a node next to this one is told what it does not know
-	mostKept  = 4096                   // contents that are kept in memory
-	mostRows  = 256                    // in the store, of contents that are not barred
-	tidyEvery = 5 * time.Second        // between two looks for what can be forgotten
+	minStoredCrashes    = 2                      // crashes before a content is written to the store: a single crash is most often caused by another request
+	forgetAfter         = 10 * time.Minute       // after which the crashes of a content that is not blocked are forgotten
+	sameCrashWindow     = time.Second            // within which two lost requests of a content at one upstream count as one crash
+	simultaneousWindow  = 100 * time.Millisecond // within which crashes count as one: upstreams that crash at the same time do so for another reason
+	writeInterval       = 500 * time.Millisecond // minimum time between two writes of a content
+	readerWriteDelay    = time.Second            // after which a node that reads the store writes crashes that their observers have not written
+	rebroadcastInterval = 500 * time.Millisecond // minimum time between two broadcasts for neighbours that do not know of a block
+	maxRecords          = 4096                   // contents in memory
+	maxUnblockedRows    = 256                    // at this number of rows in the store, rows are added only for blocked contents
+	pruneInterval       = 5 * time.Second        // between scans for expired records
 )
 
-// State is what a node knows of requests that end upstreams.
+// State holds what a node knows of requests that crash upstreams.
 type State struct {
-	config  Config
-	records map[vaneyoke.ContentID]*record
-	rows    int       // in the store
-	due     time.Time // of the next tick; the zero time for none
-	effects []Effect
+	config     Config
+	records    map[vaneyoke.ContentID]*record
+	storedRows int       // at the last RowsUpdated
+	nextTick   time.Time // when Tick is due; zero for not at all
+	effects    []Effect
 }
 
-// record is what is known of a content.
+// record holds what is known of a content.
 type record struct {
-	crashes  []Crash
-	seen     []time.Time   // by this node, when it learned of each crash
-	own      bool          // whether this node saw one of them
-	by       vaneyoke.VMID // who saw the newest, "" for this node
-	since    time.Time     // of the newest crash
-	barredAt time.Time     // the zero time where it is not
-	toldAt   time.Time
-	writeAt  time.Time // before which it is not written again
-	revision vaneyoke.Revision
-	stored   int               // crashes in the store's row
-	cleared  vaneyoke.Revision // of the newest row that counts no more: the content was answered since, or its time is over
-	removes  bool              // whether this node is to remove that row
+	crashes         []Crash
+	learnedAt       []time.Time   // when this node learned of each crash
+	observed        bool          // whether this node observed one of the crashes
+	latestOrigin    vaneyoke.VMID // the node that observed the latest crash; "" for this node
+	latestAt        time.Time     // when this node learned of the latest crash
+	blockedAt       time.Time     // zero if the content is not blocked
+	rebroadcastAt   time.Time
+	nextWrite       time.Time // earliest time of the next write or removal
+	revision        vaneyoke.Revision
+	storedCrashes   int               // crashes in the store's row
+	ignoredRevision vaneyoke.Revision // latest revision of the row to ignore: the content was answered since, or its block has expired
+	removesRow      bool              // whether this node is to remove the ignored row
 }
 
-// New returns a state that knows of no crash.
+// New returns a state without crashes.
 func New(config Config) *State {
 	return &State{config: config, records: map[vaneyoke.ContentID]*record{}}
 }
 
-// Next returns when Tick is due, the zero time for not at all.
-func (s *State) Next() time.Time { return s.due }
+// NextTick returns when Tick is due, the zero time for not at all.
+func (s *State) NextTick() time.Time { return s.nextTick }
 
-// Barred reports whether a content is sent to no upstream, and for how long it is not.
-func (s *State) Barred(now time.Time, content vaneyoke.ContentID) (left time.Duration, barred bool) {
+// Blocked reports whether a content is blocked, and for how much longer.
+func (s *State) Blocked(now time.Time, content vaneyoke.ContentID) (remaining time.Duration, blocked bool) {
 	r := s.records[content]
-	if r == nil || r.barredAt.IsZero() {
+	if r == nil || r.blockedAt.IsZero() {
 		return 0, false
 	}
-	left = r.barredAt.Add(s.config.Hold).Sub(now)
-	return left, left > 0
+	remaining = r.blockedAt.Add(s.config.BlockDuration).Sub(now)
+	return remaining, remaining > 0
 }
 
-// Handle takes in an event and returns what has to be done; the slice is valid until the next call.
+// Handle applies an event and returns the resulting effects; the slice is valid until the next call.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = s.effects[:0]
-	if s.config.Crashes == 0 {
+	if s.config.CrashThreshold == 0 {
 		return nil
 	}
 	switch ev := ev.(type) {
-	case Crashed:
-		s.crashed(now, ev)
-	case Survived:
+	case CrashObserved:
+		s.observeCrash(now, ev)
+	case RequestCompleted:
 		if s.clear(now, ev.Content, true) {
-			s.do(TellSurvived(ev))
+			s.emit(BroadcastCompletion(ev))
 		}
-	case Heard:
-		s.heard(now, ev)
-	case HeardSurvived:
+	case CrashReported:
+		s.handleReport(now, ev)
+	case CompletionReported:
 		s.clear(now, ev.Content, false)
-	case Recorded:
-		s.recorded(now, ev.Rows)
+	case RowsUpdated:
+		s.updateRows(now, ev.Rows)
 	case Tick:
-		s.tick(now, ev.Reads)
+		s.tick(now, ev.ReadsStore)
 	}
 	return s.effects
 }
 
-func (s *State) do(e Effect) { s.effects = append(s.effects, e) }
+func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// wake has the next tick be no later than a time.
-func (s *State) wake(at time.Time) {
-	if s.due.IsZero() || at.Before(s.due) {
-		s.due = at
+// scheduleTick makes the next tick due at the given time at the latest.
+func (s *State) scheduleTick(at time.Time) {
+	if s.nextTick.IsZero() || at.Before(s.nextTick) {
+		s.nextTick = at
 	}
 }
 
-// record returns what is known of a content. Where there is no room for another, the one that is not barred and whose newest crash is
-// the oldest is forgotten; nil where all are barred.
+// record returns the record of a content, and creates it if there is none. If the memory is full, it evicts the content whose latest crash is the
+// oldest among those that are not blocked; it returns nil if all are blocked.
 func (s *State) record(content vaneyoke.ContentID) *record {
 	if r := s.records[content]; r != nil {
 		return r
 	}
-	if len(s.records) >= mostKept && !s.makeRoom() {
+	if len(s.records) >= maxRecords && !s.evictOldest() {
 		return nil
 	}
 	r := &record{}
@@ -117,90 +117,91 @@
 	return r
 }
 
-func (s *State) makeRoom() bool {
+func (s *State) evictOldest() bool {
 	var oldest vaneyoke.ContentID
 	var since time.Time
 	for content, r := range s.records {
-		if r.barredAt.IsZero() && (oldest == "" || r.since.Before(since)) {
-			oldest, since = content, r.since
+		if r.blockedAt.IsZero() && (oldest == "" || r.latestAt.Before(since)) {
+			oldest, since = content, r.latestAt
 		}
 	}
 	delete(s.records, oldest)
 	return oldest != ""
 }
 
-// crashed counts a crash that this node saw, and tells the others.
-func (s *State) crashed(now time.Time, ev Crashed) {
+// observeCrash counts a crash that this node observed and broadcasts it.
+func (s *State) observeCrash(now time.Time, ev CrashObserved) {
 	r := s.record(ev.Content)
 	if r == nil {
 		return
 	}
 	crash := Crash{Upstream: ev.Upstream, Incarnation: ev.Incarnation}
 	for i := slices.Index(r.crashes, crash); i >= 0; i = slices.Index(r.crashes, crash) {
-		if now.Sub(r.seen[i]) < sameLife {
-			s.do(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSameLife})
+		if now.Sub(r.learnedAt[i]) < sameCrashWindow {
+			s.emit(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSameCrash})
 			return
 		}
-		crash.Again++
+		crash.EarlierCrashes++
 	}
-	if r.fellTogether(now) && !ev.SentAt.After(r.since) {
-		s.do(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonTogether})
+	if r.isSimultaneous(now) && !ev.SentAt.After(r.latestAt) {
+		s.emit(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSimultaneous})
 		return
 	}
-	if s.add(now, ev.Content, r, crash) {
-		r.own, r.by = true, ""
-		s.do(Tell{Content: ev.Content, Crash: crash})
+	if s.addCrash(now, ev.Content, r, crash) {
+		r.observed, r.latestOrigin = true, ""
+		s.emit(BroadcastCrash{Content: ev.Content, Crash: crash})
 	}
 }
 
-// heard counts a crash that another node knows. One that was still sent a barred content is told what it does not know.
-func (s *State) heard(now time.Time, ev Heard) {
+// handleReport counts a crash that another node reported. A neighbour that still sent a blocked content to an upstream does not know of the block,
+// and is sent the crashes behind it.
+func (s *State) handleReport(now time.Time, ev CrashReported) {
 	r := s.record(ev.Content)
 	if r == nil || slices.Contains(r.crashes, ev.Crash) {
 		return
 	}
-	if _, barred := s.Barred(now, ev.Content); barred {
-		if ev.Next && now.Sub(r.toldAt) >= tellAgain {
-			r.toldAt = now
+	if _, blocked := s.Blocked(now, ev.Content); blocked {
+		if ev.FromNeighbour && now.Sub(r.rebroadcastAt) >= rebroadcastInterval {
+			r.rebroadcastAt = now
 			for _, crash := range r.crashes {
-				s.do(Tell{Content: ev.Content, Crash: crash})
+				s.emit(BroadcastCrash{Content: ev.Content, Crash: crash})
 			}
 		}
 		return
 	}
-	if r.fellTogether(now) && ev.By != r.by {
-		s.do(Dismiss{Content: ev.Content, Crash: ev.Crash, Reason: ReasonTogether})
+	if r.isSimultaneous(now) && ev.Origin != r.latestOrigin {
+		s.emit(Dismiss{Content: ev.Content, Crash: ev.Crash, Reason: ReasonSimultaneous})
 		return
 	}
-	if s.add(now, ev.Content, r, ev.Crash) {
-		r.by = ev.By
+	if s.addCrash(now, ev.Content, r, ev.Crash) {
+		r.latestOrigin = ev.Origin
 	}
 }
 
-// fellTogether reports whether a crash that is learned of now comes with the one before. Requests that ask the same may run at many
-// upstreams of a data centre that falls, and have ended none of them. It is another crash nevertheless where the request was sent after the
-// one before, which a node knows of its own requests and has judged of what it tells.
-func (r *record) fellTogether(now time.Time) bool {
-	return len(r.crashes) > 0 && now.Sub(r.since) < together
+// isSimultaneous reports whether a crash that is learned of now belongs to the previous one. When a data centre fails, requests with the same content
+// may be running at many of its upstreams without having caused any of the crashes. A crash counts separately if its request was sent after the
+// previous crash: a node checks this for its own requests before it broadcasts a crash, so consecutive reports by one node all count.
+func (r *record) isSimultaneous(now time.Time) bool {
+	return len(r.crashes) > 0 && now.Sub(r.latestAt) < simultaneousWindow
 }
 
-// add counts a crash that is not known yet, and bars the content where there are enough; it reports whether the crash counts.
-func (s *State) add(now time.Time, content vaneyoke.ContentID, r *record, crash Crash) bool {
-	if len(r.crashes) >= s.config.Crashes {
-		s.do(Dismiss{Content: content, Crash: crash, Reason: ReasonBarred})
+// addCrash counts a crash that is not known yet and blocks the content at the threshold. It reports whether the crash counts.
+func (s *State) addCrash(now time.Time, content vaneyoke.ContentID, r *record, crash Crash) bool {
+	if len(r.crashes) >= s.config.CrashThreshold {
+		s.emit(Dismiss{Content: content, Crash: crash, Reason: ReasonBlocked})
 		return false
 	}
-	r.crashes, r.seen = append(r.crashes, crash), append(r.seen, now)
-	r.since = now
-	s.wake(now)
-	if len(r.crashes) == s.config.Crashes && r.barredAt.IsZero() {
-		r.barredAt = now
-		s.do(Bar{Content: content, Crashes: r.crashes})
+	r.crashes, r.learnedAt = append(r.crashes, crash), append(r.learnedAt, now)
+	r.latestAt = now
+	s.scheduleTick(now)
+	if len(r.crashes) == s.config.CrashThreshold && r.blockedAt.IsZero() {
+		r.blockedAt = now
+		s.emit(Block{Content: content, Crashes: r.crashes})
 	}
 	return true
 }
 
-// clear takes back what is held against a content that was answered, and reports whether there was anything.
+// clear drops the crashes of a content that was answered, and reports whether there were any.
 func (s *State) clear(now time.Time, content vaneyoke.ContentID, own bool) bool {
 	r := s.records[content]
 	if r == nil || len(r.crashes) == 0 {
@@ -210,101 +211,101 @@
 	return true
 }
 
-// reset begins anew with a content; the row that the store has of it counts no more.
+// reset drops everything that is known of a content; the current revision of its row in the store is ignored from now on.
 func (s *State) reset(now time.Time, content vaneyoke.ContentID, r *record, removes bool) {
-	if !r.barredAt.IsZero() {
-		s.do(Lift{Content: content})
+	if !r.blockedAt.IsZero() {
+		s.emit(Unblock{Content: content})
 	}
 	if r.revision == 0 {
 		delete(s.records, content)
 		return
 	}
-	s.records[content] = &record{since: now, revision: r.revision, cleared: r.revision, removes: removes}
-	s.wake(now)
+	s.records[content] = &record{latestAt: now, revision: r.revision, ignoredRevision: r.revision, removesRow: removes}
+	s.scheduleTick(now)
 }
 
-// recorded takes in the store's rows.
-func (s *State) recorded(now time.Time, rows []Row) {
-	s.rows = len(rows)
-	held := make(map[vaneyoke.ContentID]bool, len(rows))
+// updateRows applies the store's rows.
+func (s *State) updateRows(now time.Time, rows []Row) {
+	s.storedRows = len(rows)
+	stored := make(map[vaneyoke.ContentID]bool, len(rows))
 	for _, row := range rows {
-		held[row.Content] = true
+		stored[row.Content] = true
 		r := s.record(row.Content)
-		if r == nil || row.Revision <= r.cleared {
+		if r == nil || row.Revision <= r.ignoredRevision {
 			continue
 		}
-		r.revision, r.stored = row.Revision, len(row.Crashes)
+		r.revision, r.storedCrashes = row.Revision, len(row.Crashes)
 		for _, crash := range row.Crashes {
 			if !slices.Contains(r.crashes, crash) {
-				s.add(now, row.Content, r, crash)
+				s.addCrash(now, row.Content, r, crash)
 			}
 		}
 	}
 	for content, r := range s.records {
-		if r.revision == 0 || held[content] {
+		if r.revision == 0 || stored[content] {
 			continue
 		}
-		if r.stored > 0 && !r.barredAt.IsZero() { // whoever removed it knows that it was answered, or that its time is over
-			s.do(Lift{Content: content})
+		if r.storedCrashes > 0 && !r.blockedAt.IsZero() { // the node that removed the row knows that the content was answered, or that its block has expired
+			s.emit(Unblock{Content: content})
 		}
 		delete(s.records, content)
 	}
-	s.wake(now)
+	s.scheduleTick(now)
 }
 
-// tick writes what the store lacks, removes rows that count no more, and forgets what is old.
+// tick writes what the store lacks, removes obsolete rows and drops expired records.
 func (s *State) tick(now time.Time, reads bool) {
-	s.due = time.Time{}
+	s.nextTick = time.Time{}
 	for content, r := range s.records {
 		switch {
-		case r.removes:
-			s.remove(now, content, r)
-		case s.isOver(now, r):
+		case r.removesRow:
+			s.removeRow(now, content, r)
+		case s.isExpired(now, r):
 			s.reset(now, content, r, reads)
 		default:
-			s.write(now, content, r, reads)
+			s.writeRow(now, content, r, reads)
 		}
-		s.wake(now.Add(tidyEvery))
+		s.scheduleTick(now.Add(pruneInterval))
 	}
 }
 
-func (s *State) isOver(now time.Time, r *record) bool {
-	if !r.barredAt.IsZero() {
-		return now.Sub(r.barredAt) >= s.config.Hold
+func (s *State) isExpired(now time.Time, r *record) bool {
+	if !r.blockedAt.IsZero() {
+		return now.Sub(r.blockedAt) >= s.config.BlockDuration
 	}
-	return now.Sub(r.since) >= innocent
+	return now.Sub(r.latestAt) >= forgetAfter
 }
 
-func (s *State) remove(now time.Time, content vaneyoke.ContentID, r *record) {
-	if now.Before(r.writeAt) {
-		s.wake(r.writeAt)
+func (s *State) removeRow(now time.Time, content vaneyoke.ContentID, r *record) {
+	if now.Before(r.nextWrite) {
+		s.scheduleTick(r.nextWrite)
 		return
 	}
-	r.writeAt = now.Add(writeWait)
-	s.wake(r.writeAt)
-	s.do(Remove{Content: content, Revision: r.cleared})
+	r.nextWrite = now.Add(writeInterval)
+	s.scheduleTick(r.nextWrite)
+	s.emit(RemoveRow{Content: content, Revision: r.ignoredRevision})
 }
 
-// write has a content's row hold what is known of it. The nodes that saw a crash write it, and who reads the store where they have
-// not, since they may have ended.
-func (s *State) write(now time.Time, content vaneyoke.ContentID, r *record, reads bool) {
-	if len(r.crashes) < keepFrom || r.stored >= len(r.crashes) || (r.barredAt.IsZero() && r.revision == 0 && s.rows >= mostRows) {
+// writeRow writes the crashes of a content to its row. The nodes that observed a crash write it; nodes that read the store write it after a delay,
+// because the observers may have stopped.
+func (s *State) writeRow(now time.Time, content vaneyoke.ContentID, r *record, reads bool) {
+	if len(r.crashes) < minStoredCrashes || r.storedCrashes >= len(r.crashes) || (r.blockedAt.IsZero() && r.revision == 0 && s.storedRows >= maxUnblockedRows) {
 		return
 	}
-	at := r.writeAt
-	if !r.own {
+	at := r.nextWrite
+	if !r.observed {
 		if !reads {
 			return
 		}
-		at = maxTime(at, r.since.Add(readWait))
+		at = maxTime(at, r.latestAt.Add(readerWriteDelay))
 	}
 	if now.Before(at) {
-		s.wake(at)
+		s.scheduleTick(at)
 		return
 	}
-	r.writeAt = now.Add(writeWait)
-	s.wake(r.writeAt)
-	s.do(Write{Row: Row{Content: content, Crashes: slices.Clone(r.crashes), Revision: r.revision}})
+	r.nextWrite = now.Add(writeInterval)
+	s.scheduleTick(r.nextWrite)
+	s.emit(WriteRow{Row: Row{Content: content, Crashes: slices.Clone(r.crashes), Revision: r.revision}})
 }
 
 func maxTime(a, b time.Time) time.Time {
--- a/process/node/crash_guard.go
+++ b/process/node/crash_guard.go
@@ -15,20 +15,20 @@
 
 // Crashed notes that an upstream ended as it began to run a request.
 func (g crashGuard) Crashed(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
-	g.crashes.Crashed(content, upstream, sentAt)
+	g.crashes.RecordCrash(content, upstream, sentAt)
 }
 
 // Outlived notes that an upstream goes on which has lost a request as it began to run it.
 func (g crashGuard) Outlived(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
-	g.crashes.Outlived(content, upstream, sentAt)
+	g.crashes.RecordLossWithoutCrash(content, upstream, sentAt)
 }
 
 // Survived notes that an upstream has answered a request in whole.
-func (g crashGuard) Survived(content vaneyoke.ContentID) { g.crashes.Survived(content) }
+func (g crashGuard) Survived(content vaneyoke.ContentID) { g.crashes.RecordCompletion(content) }
 
 // Barred reports whether what a request asks is sent to no upstream.
 func (g crashGuard) Barred(content vaneyoke.ContentID) (time.Duration, bool) {
-	return g.crashes.Barred(content)
+	return g.crashes.Blocked(content)
 }
 
 // callerPlacer is the balancer of a node of the caller API, which counts crashes for itself.
@@ -38,5 +38,5 @@
 }
 
 func quarantineConfig(s settings.Recovery) quarantine.Config {
-	return quarantine.Config{Crashes: s.Crashes, Hold: s.Quarantine}
+	return quarantine.Config{CrashThreshold: s.Crashes, BlockDuration: s.Quarantine}
 }
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -33,7 +33,7 @@
 // heard takes in what another node saw: of an upstream, or of what a request did to one.
 func (b *gatewayPlacer) heard(s gossip.Sighting) {
 	if s.Kind.OfRun() {
-		b.crashes.Heard(s)
+		b.crashes.RecordGossip(s)
 		return
 	}
 	b.Heard(s)
--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -91,7 +91,7 @@
 		do.MustInvoke[logrus.FieldLogger](i),
 		relayConfig(s),
 	)
-	placer.crashes.OnBar(r.Bar)
+	placer.crashes.OnBlock(r.Bar)
 	return r, nil
 }
 
--- a/process/node/wire.go
+++ b/process/node/wire.go
@@ -119,7 +119,7 @@
 
 func provideRelay(i do.Injector) (*relay.Relay, error) {
 	s, vars, log := do.MustInvoke[settings.Settings](i), do.MustInvoke[*expvar.Map](i), do.MustInvoke[logrus.FieldLogger](i)
-	crashes := quarantines.NewAlone(quarantineConfig(s.Recovery), quarantines.NewMetrics(vars), log)
+	crashes := quarantines.NewStandalone(quarantineConfig(s.Recovery), quarantines.NewMetrics(vars), log)
 	r := relay.New(
 		engine.New(newUpstreamClient(), newOnceClient()),
 		nil,
@@ -129,7 +129,7 @@
 		log,
 		relayConfig(s),
 	)
-	crashes.OnBar(r.Bar)
+	crashes.OnBlock(r.Bar)
 	return r, nil
 }
 
--- a/shell/quarantines/doc.go
+++ b/shell/quarantines/doc.go
@@ -1,2 +1,3 @@
-// Package quarantines carries out what is decided of requests that end upstreams: it tells the other nodes, and keeps it in the store.
+// Package quarantines carries out the decisions on requests that crash upstreams: it broadcasts crashes to the other nodes and writes them to the
+// store.
 package quarantines
--- a/shell/quarantines/node.go
+++ b/shell/quarantines/node.go
@@ -15,177 +15,177 @@
 )
 
 const (
-	storeWait = 1500 * time.Millisecond // longest wait for the store
-	mostCalls = 4                       // to the store at a time; what comes beyond is done at a later tick
+	storeTimeout  = 1500 * time.Millisecond // of a call to the store
+	maxStoreCalls = 4                       // concurrent calls to the store; calls beyond that are made at a later tick
 )
 
-// Store keeps what is known of requests that end upstreams.
+// Store stores the crashes that contents caused.
 type Store interface {
-	// Write writes a row where its revision is the row's, 0 for no row; an error with CodeStoreRace says that it has another one, and
-	// any other that it may have been written.
+	// Write writes a row if the stored row has its revision, 0 for no row. An error with CodeStoreRace means that the revisions differ; after any
+	// other error, the row may have been written.
 	Write(ctx context.Context, row quarantine.Row) error
-	// Remove removes a row of a revision.
+	// Remove removes a row if it has the given revision.
 	Remove(ctx context.Context, content vaneyoke.ContentID, revision vaneyoke.Revision) error
 }
 
-// Reader tells the node's part in reading the store.
+// Reader reports whether this node reads the store.
 type Reader interface {
-	// Reads reports whether the node reads the store for others.
+	// Reads reports whether this node reads the store for other nodes.
 	Reads() bool
 }
 
-// Teller tells the other nodes.
-type Teller interface {
-	// SeenRun tells what a request did to an upstream.
+// Broadcaster sends observations to the other nodes.
+type Broadcaster interface {
+	// SeenRun broadcasts what a request did to an upstream.
 	SeenRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run)
 }
 
-// Node is this node's part in the quarantine.
+// Node carries out the quarantine on this node.
 type Node struct {
-	store   Store
-	reader  Reader
-	teller  Teller
-	bar     func(vaneyoke.ContentID) // ends what is under way of a content
-	metrics *Metrics
-	log     logrus.FieldLogger
-	calls   *background.Calls // to the store
+	store       Store
+	reader      Reader
+	broadcaster Broadcaster
+	onBlock     func(vaneyoke.ContentID) // cancels the requests of a blocked content
+	metrics     *Metrics
+	log         logrus.FieldLogger
+	calls       *background.Calls // to the store
 
-	mu    sync.Mutex
-	state *quarantine.State
-	timer *time.Timer
-	ended bool
+	mu     sync.Mutex
+	state  *quarantine.State
+	timer  *time.Timer
+	closed bool
 }
 
-// Metrics counts what a node does for the quarantine.
+// Metrics counts crashes, blocks and calls to the store.
 type Metrics struct{ counts *expvar.Map }
 
-// NewMetrics returns metrics that are told under "quarantine" among vars.
+// NewMetrics returns metrics that are published under "quarantine" in vars.
 func NewMetrics(vars *expvar.Map) *Metrics {
 	m := &Metrics{counts: new(expvar.Map).Init()}
 	vars.Set("quarantine", m.counts)
 	return m
 }
 
-// New returns a node's part in the quarantine.
-func New(config quarantine.Config, store Store, reader Reader, teller Teller, metrics *Metrics, log logrus.FieldLogger) *Node {
+// New returns a node that knows of no crashes.
+func New(config quarantine.Config, store Store, reader Reader, broadcaster Broadcaster, metrics *Metrics, log logrus.FieldLogger) *Node {
 	n := &Node{
-		store: store, reader: reader, teller: teller, bar: func(vaneyoke.ContentID) {}, metrics: metrics, log: log,
-		calls: background.New(mostCalls, storeWait), state: quarantine.New(config),
+		store: store, reader: reader, broadcaster: broadcaster, onBlock: func(vaneyoke.ContentID) {}, metrics: metrics, log: log,
+		calls: background.New(maxStoreCalls, storeTimeout), state: quarantine.New(config),
 	}
-	n.timer = time.AfterFunc(time.Hour, func() { n.handle(quarantine.Tick{Reads: n.reader.Reads()}) })
+	n.timer = time.AfterFunc(time.Hour, func() { n.handle(quarantine.Tick{ReadsStore: n.reader.Reads()}) })
 	n.timer.Stop()
 	return n
 }
 
-// NewAlone returns the part of a node that keeps what it knows to itself.
-func NewAlone(config quarantine.Config, metrics *Metrics, log logrus.FieldLogger) *Node {
-	return New(config, alone{}, alone{}, alone{}, metrics, log)
+// NewStandalone returns a node that exchanges crashes with neither other nodes nor the store.
+func NewStandalone(config quarantine.Config, metrics *Metrics, log logrus.FieldLogger) *Node {
+	return New(config, standalone{}, standalone{}, standalone{}, metrics, log)
 }
 
-// alone is neither told nor tells.
-type alone struct{}
+// standalone implements Store, Reader and Broadcaster and does nothing.
+type standalone struct{}
 
-func (alone) Write(context.Context, quarantine.Row) error                         { return nil }
-func (alone) Remove(context.Context, vaneyoke.ContentID, vaneyoke.Revision) error { return nil }
-func (alone) Reads() bool                                                         { return false }
-func (alone) SeenRun(vaneyoke.UpstreamID, gossip.Kind, gossip.Run)                {}
+func (standalone) Write(context.Context, quarantine.Row) error                         { return nil }
+func (standalone) Remove(context.Context, vaneyoke.ContentID, vaneyoke.Revision) error { return nil }
+func (standalone) Reads() bool                                                         { return false }
+func (standalone) SeenRun(vaneyoke.UpstreamID, gossip.Kind, gossip.Run)                {}
 
-// OnBar sets what ends the requests under way of a content that is barred; it is called once, before the node serves.
-func (n *Node) OnBar(bar func(vaneyoke.ContentID)) { n.bar = bar }
+// OnBlock sets the function that cancels the requests of a content when it is blocked. It is called once, before the node serves requests.
+func (n *Node) OnBlock(onBlock func(vaneyoke.ContentID)) { n.onBlock = onBlock }
 
-// Close ends the node's part.
+// Close stops the node's timer.
 func (n *Node) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended = true
+	n.closed = true
 	n.timer.Stop()
 }
 
-// Crashed takes in that an upstream ended as it began to run a request of this node, which was sent to it at a time.
-func (n *Node) Crashed(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+// RecordCrash records that an upstream crashed as it began to run a request of this node, which was sent to it at sentAt.
+func (n *Node) RecordCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	n.metrics.counts.Add("crashes_seen_total", 1)
-	n.handle(quarantine.Crashed{Content: content, Upstream: upstream.ID, Incarnation: upstream.Incarnation, SentAt: sentAt})
+	n.handle(quarantine.CrashObserved{Content: content, Upstream: upstream.ID, Incarnation: upstream.Incarnation, SentAt: sentAt})
 }
 
-// Outlived takes in that an upstream goes on which has lost a request of this node as it began to run it.
-func (n *Node) Outlived(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+// RecordLossWithoutCrash records that an upstream lost a request of this node as it began to run it, but has not crashed.
+func (n *Node) RecordLossWithoutCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	n.metrics.counts.Add("losses_outlived_total", 1)
 	n.log.WithFields(logrus.Fields{
 		"content": content, "upstream": upstream.ID, "incarnation": uint64(upstream.Incarnation), "age_ms": time.Since(sentAt).Milliseconds(),
 	}).Info("loss_outlived")
 }
 
-// Survived takes in that an upstream has answered a request of this node in whole.
-func (n *Node) Survived(content vaneyoke.ContentID) {
-	n.handle(quarantine.Survived{Content: content})
+// RecordCompletion records that an upstream has completely answered a request of this node.
+func (n *Node) RecordCompletion(content vaneyoke.ContentID) {
+	n.handle(quarantine.RequestCompleted{Content: content})
 }
 
-// Heard takes in what another node tells.
-func (n *Node) Heard(s gossip.Sighting) {
+// RecordGossip records a crash or a completed request that another node reported.
+func (n *Node) RecordGossip(s gossip.Sighting) {
 	if s.Kind == gossip.KindSurvived {
-		n.handle(quarantine.HeardSurvived{Content: s.Content})
+		n.handle(quarantine.CompletionReported{Content: s.Content})
 		return
 	}
 	n.metrics.counts.Add("crashes_heard_total", 1)
-	n.handle(quarantine.Heard{
-		Content: s.Content, By: s.Origin, Next: s.Hops == 1,
-		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, Again: s.Again},
+	n.handle(quarantine.CrashReported{
+		Content: s.Content, Origin: s.Origin, FromNeighbour: s.Hops == 1,
+		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, EarlierCrashes: s.Again},
 	})
 }
 
-// SetRows takes in the store's rows.
-func (n *Node) SetRows(rows []quarantine.Row) { n.handle(quarantine.Recorded{Rows: rows}) }
+// SetRows updates the store's rows.
+func (n *Node) SetRows(rows []quarantine.Row) { n.handle(quarantine.RowsUpdated{Rows: rows}) }
 
-// Barred reports whether a content is sent to no upstream, and for how long it is not.
-func (n *Node) Barred(content vaneyoke.ContentID) (left time.Duration, barred bool) {
+// Blocked reports whether a content is blocked, and for how much longer.
+func (n *Node) Blocked(content vaneyoke.ContentID) (remaining time.Duration, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.state.Barred(time.Now(), content)
+	return n.state.Blocked(time.Now(), content)
 }
 
-// handle gives an event to the state and carries out what follows; whatever calls out does so without the lock.
+// handle passes an event to the state and applies the effects; calls to other components are made without the lock.
 func (n *Node) handle(event quarantine.Event) {
 	n.mu.Lock()
 	effects := append([]quarantine.Effect(nil), n.state.Handle(time.Now(), event)...)
-	if at := n.state.Next(); !at.IsZero() && !n.ended {
+	if at := n.state.NextTick(); !at.IsZero() && !n.closed {
 		n.timer.Reset(time.Until(at))
 	}
 	n.mu.Unlock()
 	for _, effect := range effects {
-		n.carryOut(effect)
+		n.apply(effect)
 	}
 }
 
-func (n *Node) carryOut(effect quarantine.Effect) {
+func (n *Node) apply(effect quarantine.Effect) {
 	switch e := effect.(type) {
-	case quarantine.Bar:
+	case quarantine.Block:
 		n.metrics.counts.Add("barred_total", 1)
 		n.log.WithFields(logrus.Fields{"content": e.Content, "crashes": e.Crashes}).Warn("content_barred")
-		n.bar(e.Content)
-	case quarantine.Lift:
+		n.onBlock(e.Content)
+	case quarantine.Unblock:
 		n.metrics.counts.Add("lifted_total", 1)
 		n.log.WithField("content", e.Content).Info("content_admitted")
-	case quarantine.Tell:
+	case quarantine.BroadcastCrash:
 		n.log.WithFields(logrus.Fields{
-			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.Again,
+			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.EarlierCrashes,
 		}).Info("crash_told")
-		n.teller.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.Again})
+		n.broadcaster.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.EarlierCrashes})
 	case quarantine.Dismiss:
 		n.metrics.counts.Add("crashes_dismissed_total", 1)
 		n.log.WithFields(logrus.Fields{
-			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.Again, "reason": e.Reason,
+			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.EarlierCrashes, "reason": e.Reason,
 		}).Info("crash_dismissed")
-	case quarantine.TellSurvived:
-		n.teller.SeenRun("", gossip.KindSurvived, gossip.Run{Content: e.Content})
-	case quarantine.Write:
-		n.call("crashes_written", e.Row.Content, func(ctx context.Context) error { return n.store.Write(ctx, e.Row) })
-	case quarantine.Remove:
-		n.call("crashes_removed", e.Content, func(ctx context.Context) error { return n.store.Remove(ctx, e.Content, e.Revision) })
+	case quarantine.BroadcastCompletion:
+		n.broadcaster.SeenRun("", gossip.KindSurvived, gossip.Run{Content: e.Content})
+	case quarantine.WriteRow:
+		n.callStore("crashes_written", e.Row.Content, func(ctx context.Context) error { return n.store.Write(ctx, e.Row) })
+	case quarantine.RemoveRow:
+		n.callStore("crashes_removed", e.Content, func(ctx context.Context) error { return n.store.Remove(ctx, e.Content, e.Revision) })
 	}
 }
 
-// call calls the store; what became of it is seen when the row comes back.
-func (n *Node) call(event string, content vaneyoke.ContentID, do func(ctx context.Context) error) {
+// callStore calls the store in the background. The result is known when the updated row comes back.
+func (n *Node) callStore(event string, content vaneyoke.ContentID, do func(ctx context.Context) error) {
 	n.calls.Go(do, func(err error) {
 		n.metrics.counts.Add(event+"_total", 1)
 		n.logCall(event, content, err)
