--- a/process/node/pushbacks_wire.go
+++ b/process/node/pushbacks_wire.go
@@ -23,7 +23,7 @@
 // Sending takes in that something goes to an upstream.
 func (l *signalListener) Sending(upstream vaneyoke.Upstream, kind forward.Kind) {
 	l.limits.Sending(upstream, kind)
-	l.pushbacks.Sending(time.Now(), upstream.ID, kind)
+	l.pushbacks.RecordSent(time.Now(), upstream.ID, kind)
 }
 
 // Answered takes in what an upstream said of itself.
@@ -31,7 +31,7 @@
 	if signals.Limit != nil {
 		l.limits.Answered(upstream, *signals.Limit, sentAt)
 	}
-	l.pushbacks.Answered(time.Now(), upstream, signals)
+	l.pushbacks.RecordSignals(time.Now(), upstream, signals)
 }
 
 func providePushbacks(i do.Injector) (*pushbacks.Node, error) {
--- a/shell/pushbacks/doc.go
+++ b/shell/pushbacks/doc.go
@@ -1,2 +1,2 @@
-// Package pushbacks follows what upstreams tell one node of staying away, and what it sends to them all the same.
+// Package pushbacks records the pushbacks and shutdown notices that upstreams send to one node, and counts what it still sends to them.
 package pushbacks
--- a/shell/pushbacks/node.go
+++ b/shell/pushbacks/node.go
@@ -14,46 +14,45 @@
 )
 
 const (
-	tellEvery  = time.Second            // the shortest time between two lines of what was sent to an upstream that is held back, or of headers that mean nothing
-	nearEnd    = 500 * time.Millisecond // by which a pushback has to be prolonged to be told anew
-	mostCounts = 1024                   // upstreams for which it is counted what was sent to them while they were held back
+	logInterval        = time.Second            // minimum time between two log lines on the requests sent to an upstream that is held back, or on invalid headers
+	minLoggedExtension = 500 * time.Millisecond // a pushback that is extended by less is not logged again
+	maxCounted         = 1024                   // upstreams that were held back and for which sent requests are counted
 )
 
-// Holds decides from which upstreams the node stays away.
+// Holds decides which upstreams get no new attempts.
 type Holds interface {
-	// Signalled takes in what an upstream said of itself, and returns the hold that it leads to and what it was before; ok is false where
-	// nothing follows.
+	// Signalled applies a signal of an upstream and returns the resulting hold and its previous value; ok is false if the signal has no effect.
 	Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool)
-	// IsHeld reports whether an upstream gets no new attempt because it said so.
+	// IsHeld reports whether an upstream gets no new attempts because of a pushback or its shutdown.
 	IsHeld(id vaneyoke.UpstreamID) bool
 }
 
-// Node is this node's part in staying away from upstreams that told it so.
+// Node records the signals that upstreams send to this node.
 type Node struct {
 	holds  Holds
 	counts *expvar.Map
 	log    logrus.FieldLogger
 
-	mu           sync.Mutex
-	sent         map[vaneyoke.UpstreamID]*sent // to upstreams that were held back when it was looked last
-	unreadableAt time.Time                     // when a header that means nothing was told last
+	mu                 sync.Mutex
+	sent               map[vaneyoke.UpstreamID]*sendCounts // to upstreams that were held back when last checked
+	unreadableLoggedAt time.Time                           // when an invalid header was last logged
 }
 
-// sent is what went to an upstream while it was held back.
-type sent struct {
-	since time.Time // of the counts
-	kinds [forward.Kinds]int
+// sendCounts counts what was sent to an upstream while it was held back.
+type sendCounts struct {
+	since  time.Time // start of the counts
+	byKind [forward.Kinds]int
 }
 
-// New returns the part of a node that was told nothing; its metrics are under "pushback" among vars.
+// New returns a node that has received no signals; its metrics are published under "pushback" in vars.
 func New(holds Holds, vars *expvar.Map, log logrus.FieldLogger) *Node {
-	n := &Node{holds: holds, counts: new(expvar.Map).Init(), log: log, sent: map[vaneyoke.UpstreamID]*sent{}}
+	n := &Node{holds: holds, counts: new(expvar.Map).Init(), log: log, sent: map[vaneyoke.UpstreamID]*sendCounts{}}
 	vars.Set("pushback", n.counts)
 	return n
 }
 
-// Sending takes in that something goes to an upstream.
-func (n *Node) Sending(now time.Time, upstream vaneyoke.UpstreamID, kind forward.Kind) {
+// RecordSent counts a request that is sent to an upstream, if the upstream is held back.
+func (n *Node) RecordSent(now time.Time, upstream vaneyoke.UpstreamID, kind forward.Kind) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.sent[upstream]
@@ -61,21 +60,21 @@
 		return
 	}
 	if !n.holds.IsHeld(upstream) {
-		n.tellLocked(now, upstream, s)
+		n.logSentLocked(now, upstream, s)
 		delete(n.sent, upstream)
 		return
 	}
 	n.counts.Add(kind.String()+"_sent_total", 1)
-	s.kinds[kind]++
-	if now.Sub(s.since) >= tellEvery {
-		n.tellLocked(now, upstream, s)
+	s.byKind[kind]++
+	if now.Sub(s.since) >= logInterval {
+		n.logSentLocked(now, upstream, s)
 	}
 }
 
-// Answered takes in what an upstream said of itself.
-func (n *Node) Answered(now time.Time, upstream vaneyoke.Upstream, signals forward.Signals) {
+// RecordSignals applies the signals in a response of an upstream.
+func (n *Node) RecordSignals(now time.Time, upstream vaneyoke.Upstream, signals forward.Signals) {
 	if signals.Unreadable != "" {
-		n.tellUnreadable(now, upstream.ID, signals.Unreadable)
+		n.logUnreadable(now, upstream.ID, signals.Unreadable)
 	}
 	if signals.Pushback == 0 && !signals.Leaving {
 		return
@@ -84,12 +83,12 @@
 	if !ok {
 		return
 	}
-	n.follow(now, upstream.ID)
+	n.startCounting(now, upstream.ID)
 	fields := logrus.Fields{"upstream": upstream.ID, "incarnation": uint64(hold.Incarnation)}
 	if signals.Pushback > 0 {
 		n.counts.Add("asked_total", 1)
 	}
-	if hold.PushbackEnds.Sub(later(now, before.PushbackEnds)) >= min(nearEnd, signals.Pushback) && signals.Pushback > 0 {
+	if hold.PushbackEnds.Sub(later(now, before.PushbackEnds)) >= min(minLoggedExtension, signals.Pushback) && signals.Pushback > 0 {
 		n.log.WithFields(fields).WithFields(logrus.Fields{
 			"asked_ms": signals.Pushback.Milliseconds(), "ms": hold.PushbackEnds.Sub(now).Milliseconds(),
 		}).Info("upstream_pushed_back")
@@ -107,39 +106,40 @@
 	return a
 }
 
-// follow counts from now on what is sent to an upstream that is held back; those that are not held back any more make room for it.
-func (n *Node) follow(now time.Time, upstream vaneyoke.UpstreamID) {
+// startCounting starts counting what is sent to an upstream that is held back. If the limit is reached, it drops upstreams that are no longer held
+// back.
+func (n *Node) startCounting(now time.Time, upstream vaneyoke.UpstreamID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.sent[upstream] != nil {
 		return
 	}
-	if len(n.sent) >= mostCounts {
-		maps.DeleteFunc(n.sent, func(id vaneyoke.UpstreamID, _ *sent) bool { return !n.holds.IsHeld(id) })
+	if len(n.sent) >= maxCounted {
+		maps.DeleteFunc(n.sent, func(id vaneyoke.UpstreamID, _ *sendCounts) bool { return !n.holds.IsHeld(id) })
 	}
-	if len(n.sent) < mostCounts {
-		n.sent[upstream] = &sent{since: now}
+	if len(n.sent) < maxCounted {
+		n.sent[upstream] = &sendCounts{since: now}
 	}
 }
 
-// tellLocked logs what has gone to an upstream that is held back since the last line, unless that is nothing.
-func (n *Node) tellLocked(now time.Time, upstream vaneyoke.UpstreamID, s *sent) {
-	if s.kinds != [forward.Kinds]int{} {
+// logSentLocked logs what was sent to an upstream while it was held back, since the previous line, if anything.
+func (n *Node) logSentLocked(now time.Time, upstream vaneyoke.UpstreamID, s *sendCounts) {
+	if s.byKind != [forward.Kinds]int{} {
 		n.log.WithFields(logrus.Fields{
 			"upstream": upstream, "ms": now.Sub(s.since).Milliseconds(),
-			"first": s.kinds[forward.KindFirst], "repeats": s.kinds[forward.KindRepeat], "questions": s.kinds[forward.KindQuestion],
+			"first": s.byKind[forward.KindFirst], "repeats": s.byKind[forward.KindRepeat], "questions": s.byKind[forward.KindQuestion],
 		}).Info("sent_while_held")
 	}
-	s.since, s.kinds = now, [forward.Kinds]int{}
+	s.since, s.byKind = now, [forward.Kinds]int{}
 }
 
-func (n *Node) tellUnreadable(now time.Time, upstream vaneyoke.UpstreamID, header string) {
+func (n *Node) logUnreadable(now time.Time, upstream vaneyoke.UpstreamID, header string) {
 	n.counts.Add("unreadable_total", 1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if now.Sub(n.unreadableAt) < tellEvery {
+	if now.Sub(n.unreadableLoggedAt) < logInterval {
 		return
 	}
-	n.unreadableAt = now
+	n.unreadableLoggedAt = now
 	n.log.WithFields(logrus.Fields{"upstream": upstream, "header": header}).Warn("signal_unreadable")
 }
