--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -53,7 +53,7 @@
 
 // Permit looks for a permit to send something to an upstream.
 func (b *gatewayPlacer) Permit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
-	return relay.Permit(b.limits.Permit(ctx, id))
+	return relay.Permit(b.limits.AcquirePermit(ctx, id))
 }
 
 // Withheld notes that there was none for an attempt that had been placed.
--- a/process/node/limits_wire.go
+++ b/process/node/limits_wire.go
@@ -53,7 +53,7 @@
 		vm, dataCentre, member, platform.NewLimits(do.MustInvoke[*storeClient](i).http, s.Gateway.Store), do.MustInvoke[*balancer.Balancer](i).SetLimit,
 		ratelimits.NewMetrics(do.MustInvoke[*expvar.Map](i)), do.MustInvoke[logrus.FieldLogger](i),
 	)
-	member.OnLimits(n.Take)
+	member.OnLimits(n.HandleMessage)
 	member.OnNeighbours(n.SetNeighbours)
 	do.MustInvoke[*limitTables](i).node = n
 	if s.Gateway.Peers == "" {
--- a/shell/mesh/datagram.go
+++ b/shell/mesh/datagram.go
@@ -41,7 +41,7 @@
 		n.sendMessage(member, markLimits, m)
 		return
 	}
-	sendInParts(n, member, markLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{By: m.By, Notices: part} })
+	sendInParts(n, member, markLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{From: m.From, Notices: part} })
 }
 
 // sendInParts sends things that are told together in as many datagrams as they need, since nodes of all builds read so much of one, and returns
--- a/shell/mesh/datagram_test.go
+++ b/shell/mesh/datagram_test.go
@@ -68,7 +68,7 @@
 		{VM: "takes", Address: takes.LocalAddr().String(), Speaks: feed.DialectLimits}, {VM: "earlier", Address: earlier.LocalAddr().String()},
 	})
 	for _, vm := range []vaneyoke.VMID{"takes", "earlier", "unknown"} {
-		n.SendLimits(vm, ratelimits.Message{By: "self"})
+		n.SendLimits(vm, ratelimits.Message{From: "self"})
 	}
 	buffer := make([]byte, maxOfferBytes)
 	must.NoError(t, takes.SetReadDeadline(time.Now().Add(20*time.Second)))
@@ -78,7 +78,7 @@
 	var got []ratelimits.Message
 	n.OnLimits(func(m ratelimits.Message) { got = append(got, m) })
 	n.takeMarked(buffer[:size])
-	must.Eq(t, []ratelimits.Message{{By: "self"}}, got)
+	must.Eq(t, []ratelimits.Message{{From: "self"}}, got)
 	must.NoError(t, earlier.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, _, err = earlier.ReadFrom(buffer)
 	must.Error(t, err)
--- a/shell/mesh/fit_test.go
+++ b/shell/mesh/fit_test.go
@@ -49,7 +49,7 @@
 	NewGossip(other, func(gossip.Sighting) { heard++ })
 	other.OnLimits(func(m ratelimits.Message) { named += len(m.Notices) })
 	n.tellSightings(gossip.Send{To: "to", Sightings: all})
-	n.SendLimits("to", ratelimits.Message{By: "self", Notices: notices})
+	n.SendLimits("to", ratelimits.Message{From: "self", Notices: notices})
 	buffer := make([]byte, maxOfferBytes)
 	for (heard < crashes || named < limits) && !t.Failed() {
 		must.NoError(t, to.SetReadDeadline(time.Now().Add(2*time.Second)))
--- a/shell/ratelimits/doc.go
+++ b/shell/ratelimits/doc.go
@@ -1,2 +1,2 @@
-// Package ratelimits carries out what is decided of the limits that upstreams name, and accounts for what a node sends them.
+// Package ratelimits carries out the decisions on the rate limits that upstreams declare, and counts what a node sends to them.
 package ratelimits
--- a/shell/ratelimits/fuzz_test.go
+++ b/shell/ratelimits/fuzz_test.go
@@ -15,33 +15,33 @@
 	"github.com/vaneyoke/vaneyoke/shell/ratelimits"
 )
 
-type deaf struct{}
+type noop struct{}
 
-func (deaf) SendLimits(vaneyoke.VMID, ratelimits.Message) {}
-func (deaf) TakeOffIfGone(vaneyoke.VMID)                  {}
+func (noop) SendLimits(vaneyoke.VMID, ratelimits.Message) {}
+func (noop) TakeOffIfGone(vaneyoke.VMID)                  {}
 
 // Write does nothing.
-func (deaf) Write(context.Context, ratelimit.Row) error { return nil }
+func (noop) Write(context.Context, ratelimit.Row) error { return nil }
 
 // Remove does nothing.
-func (deaf) Remove(context.Context, ratelimit.Row) error { return nil }
+func (noop) Remove(context.Context, ratelimit.Row) error { return nil }
 
-// FuzzMessages takes in any two messages of other nodes, of which the second may answer or contradict the first, and asks for permits after them.
+// FuzzMessages handles any two messages of other nodes, of which the second may respond to or contradict the first, and acquires permits afterwards.
 func FuzzMessages(f *testing.F) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		n := ratelimits.New("vm-0", "a", deaf{}, deaf{}, func(vaneyoke.UpstreamID, vaneyoke.Limit) {}, ratelimits.NewMetrics(new(expvar.Map).Init()), log)
+		n := ratelimits.New("vm-0", "a", noop{}, noop{}, func(vaneyoke.UpstreamID, vaneyoke.Limit) {}, ratelimits.NewMetrics(new(expvar.Map).Init()), log)
 		defer n.Close()
 		n.SetMembers([]ratelimit.Member{{VM: "vm-0", DataCentre: "a", SupportsLimits: true}, {VM: "vm-1", DataCentre: "b"}})
 		for _, text := range [][]byte{first, second} {
 			var m ratelimits.Message
 			if json.Unmarshal(text, &m) == nil {
-				n.Take(m)
+				n.HandleMessage(m)
 			}
 		}
 		for _, id := range []vaneyoke.UpstreamID{"u1", "u2"} {
-			p := n.Permit(t.Context(), id)
+			p := n.AcquirePermit(t.Context(), id)
 			if p.Next < 0 || p.Turn < 0 || p.Turn > 10*time.Second {
 				t.Fatal(p)
 			}
--- a/shell/ratelimits/node.go
+++ b/shell/ratelimits/node.go
@@ -15,69 +15,70 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// Messenger carries messages to other nodes; one that is lost on the way is not sent again.
+// Messenger sends messages to other nodes; lost messages are not retransmitted.
 type Messenger interface {
-	// SendLimits sends a message to a node whose build takes it.
+	// SendLimits sends a message to a node whose build supports it.
 	SendLimits(to vaneyoke.VMID, m Message)
-	// TakeOffIfGone takes a node off the members, unless it takes connections.
+	// TakeOffIfGone removes a node from the members, unless it accepts connections.
 	TakeOffIfGone(vm vaneyoke.VMID)
 }
 
-// Store keeps which upstreams name limits.
+// Store stores which upstreams declare limits.
 type Store interface {
-	// Write writes a row where its revision is the row's, 0 for no row; an error with CodeStoreRace says that it has another one, and
-	// any other that it may have been written.
+	// Write writes a row if the stored row has its revision, 0 for no row. An error with CodeStoreRace means that the revisions differ; after any
+	// other error, the row may have been written.
 	Write(ctx context.Context, row ratelimit.Row) error
-	// Remove removes a row of a revision.
+	// Remove removes a row if it has the given revision.
 	Remove(ctx context.Context, row ratelimit.Row) error
 }
 
 const (
-	storeWait = 1500 * time.Millisecond // longest wait for the store
-	mostCalls = 4                       // to the store at a time; what comes beyond is done later
+	storeTimeout  = 1500 * time.Millisecond // of a call to the store
+	maxStoreCalls = 4                       // concurrent calls to the store; calls beyond that are made later
 )
 
-// Message is what nodes say to one another of limits: one of its parts.
+// Message is a message between nodes about rate limits: notices, a request or a response.
 type Message struct {
-	By       vaneyoke.VMID             `json:"by"`
+	From     vaneyoke.VMID             `json:"by"`
 	Notices  []ratelimit.Notice        `json:"notices,omitempty"`
-	Question *ratelimit.PermitRequest  `json:"question,omitempty"`
-	Answer   *ratelimit.PermitResponse `json:"answer,omitempty"`
+	Request  *ratelimit.PermitRequest  `json:"question,omitempty"`
+	Response *ratelimit.PermitResponse `json:"answer,omitempty"`
 }
 
-// Permit is what became of a permit that was wanted.
+// Permit is the outcome of acquiring a permit.
 type Permit struct {
 	Granted bool
-	Next    time.Duration // until there may be another, where it was not granted
-	Turn    time.Duration // when a caller that gets none is to come back
+	Next    time.Duration // if not granted: time until there may be another
+	Turn    time.Duration // if not granted: time after which the caller should retry
 }
 
-// Node is this node's part in keeping the limits that upstreams name.
+// Node enforces, together with the other nodes, the rate limits that upstreams declare.
 type Node struct {
 	self      vaneyoke.VMID
 	messenger Messenger
 	store     Store
 	calls     *background.Calls // to the store
-	account   *Account
+	usage     *UsageTracker
 	metrics   *Metrics
 	log       logrus.FieldLogger
-	believe   func(upstream vaneyoke.UpstreamID, limit vaneyoke.Limit)
+	setLimit  func(upstream vaneyoke.UpstreamID, limit vaneyoke.Limit)
 
 	mu      sync.Mutex
 	state   *ratelimit.State
 	timer   *time.Timer
-	ended   bool
-	last    ratelimit.PermitID
+	closed  bool
+	lastID  ratelimit.PermitID
 	waiting map[ratelimit.PermitID]chan Permit
 }
 
-// New returns the part of a node that knows of no limit; believe takes in which limits upstreams name, in their order, and must not call the node.
+// New returns a node that knows of no limits. It calls setLimit for every change of an upstream's limit, in order,
+// and under the node's lock, so setLimit must not call the node.
 func New(
-	self vaneyoke.VMID, dataCentre vaneyoke.DataCentreID, messenger Messenger, store Store, believe func(vaneyoke.UpstreamID, vaneyoke.Limit),
+	self vaneyoke.VMID, dataCentre vaneyoke.DataCentreID, messenger Messenger, store Store, setLimit func(vaneyoke.UpstreamID, vaneyoke.Limit),
 	metrics *Metrics, log logrus.FieldLogger,
 ) *Node {
 	n := &Node{
-		self: self, messenger: messenger, store: store, calls: background.New(mostCalls, storeWait), account: NewAccount(metrics, log), metrics: metrics, log: log, believe: believe,
+		self: self, messenger: messenger, store: store, calls: background.New(maxStoreCalls, storeTimeout), usage: NewUsageTracker(metrics, log), metrics: metrics, log: log, setLimit: setLimit,
 		state:   ratelimit.New(self, dataCentre, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		waiting: map[ratelimit.PermitID]chan Permit{},
 	}
@@ -86,68 +87,68 @@
 	return n
 }
 
-// Close ends the node's part.
+// Close stops the node's timer.
 func (n *Node) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended = true
+	n.closed = true
 	n.timer.Stop()
 }
 
-// SetMembers takes in the nodes of the fleet.
+// SetMembers updates the nodes of the fleet.
 func (n *Node) SetMembers(all []ratelimit.Member) { n.handle(ratelimit.MembersUpdated{All: all}) }
 
-// SetNeighbours takes in the nodes next to this one in the tree.
+// SetNeighbours updates the neighbours of this node in the tree.
 func (n *Node) SetNeighbours(vms []vaneyoke.VMID) { n.handle(ratelimit.NeighboursUpdated{VMs: vms}) }
 
-// SetUpstreams takes in the upstreams that are listed.
+// SetUpstreams updates the listed upstreams.
 func (n *Node) SetUpstreams(all []vaneyoke.Upstream) { n.handle(ratelimit.UpstreamsUpdated{All: all}) }
 
-// SetRows takes in the rows that the store holds.
+// SetRows updates the store's rows.
 func (n *Node) SetRows(rows []ratelimit.Row) { n.handle(ratelimit.RowsUpdated{Rows: rows}) }
 
-// Sending takes in that something goes to an upstream.
-func (n *Node) Sending(upstream vaneyoke.Upstream, kind forward.Kind) {
-	n.account.Sending(steady.Now(), upstream.ID, kind)
+// RecordSent counts a request that is sent to an upstream.
+func (n *Node) RecordSent(upstream vaneyoke.Upstream, kind forward.Kind) {
+	n.usage.RecordSent(steady.Now(), upstream.ID, kind)
 }
 
-// Answered takes in the limit that an upstream named in its answer to a request of this node.
-func (n *Node) Answered(upstream vaneyoke.Upstream, limit vaneyoke.Limit, sentAt time.Time) {
+// RecordLimit records the limit that an upstream declared in its response to a request of this node.
+func (n *Node) RecordLimit(upstream vaneyoke.Upstream, limit vaneyoke.Limit, sentAt time.Time) {
 	n.handle(ratelimit.LimitObserved{Upstream: upstream, Limit: limit, SentAt: sentAt})
 }
 
-// Take takes in what another node says.
-func (n *Node) Take(m Message) {
+// HandleMessage handles a message from another node.
+func (n *Node) HandleMessage(m Message) {
 	switch {
-	case m.By == n.self || m.By == "":
-	case m.Question != nil:
-		n.handle(ratelimit.PermitRequested{From: m.By, Request: *m.Question})
-	case m.Answer != nil:
-		n.handle(ratelimit.PermitResponded{From: m.By, Response: *m.Answer})
+	case m.From == n.self || m.From == "":
+	case m.Request != nil:
+		n.handle(ratelimit.PermitRequested{From: m.From, Request: *m.Request})
+	case m.Response != nil:
+		n.handle(ratelimit.PermitResponded{From: m.From, Response: *m.Response})
 	case len(m.Notices) > 0:
-		n.handle(ratelimit.NoticesReceived{From: m.By, Notices: m.Notices})
+		n.handle(ratelimit.NoticesReceived{From: m.From, Notices: m.Notices})
 	}
 }
 
-// Limited reports whether an upstream names a limit.
+// Limited reports whether an upstream declares a limit.
 func (n *Node) Limited(upstream vaneyoke.UpstreamID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Limited(upstream)
 }
 
-// Permit looks for a permit to send something to an upstream; one that is granted must be used at once.
-func (n *Node) Permit(ctx context.Context, upstream vaneyoke.UpstreamID) Permit {
+// AcquirePermit acquires a permit to send a request to an upstream; a granted permit must be used at once.
+func (n *Node) AcquirePermit(ctx context.Context, upstream vaneyoke.UpstreamID) Permit {
 	decided := make(chan Permit, 1)
 	n.mu.Lock()
-	n.last++
-	id := n.last
+	n.lastID++
+	id := n.lastID
 	n.waiting[id] = decided
 	n.mu.Unlock()
 	n.handle(ratelimit.AcquirePermit{ID: id, Upstream: upstream})
 	select {
 	case p := <-decided:
-		n.metrics.decided(p.Granted)
+		n.metrics.countDecision(p.Granted)
 		return p
 	case <-ctx.Done():
 		n.mu.Lock()
@@ -157,69 +158,69 @@
 	}
 }
 
-// handle gives an event to the state and carries out what it asks for. Beliefs are told under the lock: what is told last stands, and two
-// answers may come at one moment.
+// handle passes an event to the state and applies the effects. Updates of limits are delivered under the lock: two responses may arrive at the same
+// time, and the last update delivered must be the current limit.
 func (n *Node) handle(ev ratelimit.Event) {
-	var outside []ratelimit.Effect
+	var unlocked []ratelimit.Effect
 	n.mu.Lock()
 	now := steady.Now()
 	for _, effect := range n.state.Handle(now, ev) {
 		switch e := effect.(type) {
 		case ratelimit.PermitDecided:
-			n.decideLocked(e)
+			n.deliverDecisionLocked(e)
 		case ratelimit.LimitUpdated:
-			n.believeLocked(now, e)
+			n.updateLimitLocked(now, e)
 		default:
-			outside = append(outside, effect)
+			unlocked = append(unlocked, effect)
 		}
 	}
-	if at := n.state.NextTick(); !at.IsZero() && !n.ended {
+	if at := n.state.NextTick(); !at.IsZero() && !n.closed {
 		n.timer.Reset(at.Sub(now))
 	}
 	n.mu.Unlock()
-	for _, effect := range outside {
-		n.carryOut(effect)
+	for _, effect := range unlocked {
+		n.apply(effect)
 	}
 }
 
-func (n *Node) decideLocked(d ratelimit.PermitDecided) {
+func (n *Node) deliverDecisionLocked(d ratelimit.PermitDecided) {
 	if waiting := n.waiting[d.ID]; waiting != nil {
 		delete(n.waiting, d.ID)
 		waiting <- Permit{Granted: d.Granted, Next: d.AvailableIn, Turn: d.RetryAfter}
 	}
 }
 
-func (n *Node) carryOut(effect ratelimit.Effect) {
+func (n *Node) apply(effect ratelimit.Effect) {
 	switch e := effect.(type) {
 	case ratelimit.SendNotices:
 		n.metrics.counts.Add("notices_told_total", int64(len(e.Notices)))
-		n.messenger.SendLimits(e.To, Message{By: n.self, Notices: e.Notices})
+		n.messenger.SendLimits(e.To, Message{From: n.self, Notices: e.Notices})
 	case ratelimit.SendPermitRequest:
 		n.metrics.counts.Add("questions_total", 1)
-		n.messenger.SendLimits(e.To, Message{By: n.self, Question: &e.Request})
+		n.messenger.SendLimits(e.To, Message{From: n.self, Request: &e.Request})
 	case ratelimit.SendPermitResponse:
 		n.metrics.counts.Add("answers_total", 1)
-		n.messenger.SendLimits(e.To, Message{By: n.self, Answer: &e.Response})
+		n.messenger.SendLimits(e.To, Message{From: n.self, Response: &e.Response})
 	case ratelimit.CheckLiveness:
 		go n.messenger.TakeOffIfGone(e.VM)
 	case ratelimit.WriteRow:
-		n.record(e.Row, true, n.store.Write)
+		n.updateStore(e.Row, true, n.store.Write)
 	case ratelimit.RemoveRow:
-		n.record(e.Row, false, n.store.Remove)
+		n.updateStore(e.Row, false, n.store.Remove)
 	}
 }
 
-// record has the store hold a row, or not hold it any more; what became of it is seen when the rows come back.
-func (n *Node) record(row ratelimit.Row, named bool, call func(context.Context, ratelimit.Row) error) {
+// updateStore writes or removes a row by the given call. The result is known when the updated rows come back.
+func (n *Node) updateStore(row ratelimit.Row, declared bool, call func(context.Context, ratelimit.Row) error) {
 	n.calls.Go(func(ctx context.Context) error { return call(ctx, row) }, func(err error) {
 		n.metrics.counts.Add("recorded_total", 1)
-		n.log.WithFields(logrus.Fields{"upstream": row.Upstream, "named": named, "rate": row.Rate, "error": err}).Info("limit_recorded")
+		n.log.WithFields(logrus.Fields{"upstream": row.Upstream, "named": declared, "rate": row.Rate, "error": err}).Info("limit_recorded")
 	})
 }
 
-func (n *Node) believeLocked(now time.Time, e ratelimit.LimitUpdated) {
-	n.account.Named(now, e.Notice.Upstream, e.Notice.Limit)
-	n.believe(e.Notice.Upstream, e.Notice.Limit)
+func (n *Node) updateLimitLocked(now time.Time, e ratelimit.LimitUpdated) {
+	n.usage.SetLimit(now, e.Notice.Upstream, e.Notice.Limit)
+	n.setLimit(e.Notice.Upstream, e.Notice.Limit)
 	n.log.WithFields(logrus.Fields{
 		"upstream": e.Notice.Upstream, "incarnation": uint64(e.Notice.Incarnation), "named": e.Notice.Limit.Named, "rate": e.Notice.Limit.Rate,
 		"age_ms": e.Notice.AgeMs, "peer": e.From,
--- a/shell/ratelimits/node_test.go
+++ b/shell/ratelimits/node_test.go
@@ -14,38 +14,38 @@
 	"github.com/vaneyoke/vaneyoke/shell/ratelimits"
 )
 
-// TestBeliefsComeInTheirOrder has an upstream name a limit and none any more in two answers at nearly the same moment, while whoever is told
-// the first one takes a while: what is told last must be what stands.
+// TestLimitUpdatesAreDeliveredInOrder has an upstream declare a limit and withdraw it in two responses at nearly the same time, while the callback
+// for the first one is slow: the last update delivered must be the current limit.
 //
-// What follows from an event was carried out after the lock was given back, so that placement could hear of the end before it heard of the limit
-// ([false true] in place of [true false]). It then left an upstream aside, kept no replicas there and asked it nothing, until its next limit.
-func TestBeliefsComeInTheirOrder(t *testing.T) {
+// Effects used to be applied after the lock was released, so that placement could receive the withdrawal before the limit ([false true] instead of
+// [true false]). It then avoided the upstream, kept no replicas there and sent it no queries until its next limit.
+func TestLimitUpdatesAreDeliveredInOrder(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	entered, over := make(chan struct{}), make(chan struct{})
+	entered, cleared := make(chan struct{}), make(chan struct{})
 	var mu sync.Mutex
-	var told []bool
-	n := ratelimits.New("vm-0", "a", deaf{}, deaf{}, func(_ vaneyoke.UpstreamID, limit vaneyoke.Limit) {
+	var updates []bool
+	n := ratelimits.New("vm-0", "a", noop{}, noop{}, func(_ vaneyoke.UpstreamID, limit vaneyoke.Limit) {
 		if limit.Named {
 			close(entered)
 			select {
-			case <-over: // the other one went past this one
+			case <-cleared: // the second update overtook this one
 			case <-time.After(50 * time.Millisecond):
 			}
 		} else {
-			close(over)
+			close(cleared)
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		told = append(told, limit.Named)
+		updates = append(updates, limit.Named)
 	}, ratelimits.NewMetrics(new(expvar.Map).Init()), log)
 	defer n.Close()
 	upstream := vaneyoke.Upstream{ID: "u1"}
-	var answers sync.WaitGroup
-	answers.Go(func() { n.Answered(upstream, vaneyoke.Limit{Named: true, Rate: 2.8}, time.Now()) })
+	var responses sync.WaitGroup
+	responses.Go(func() { n.RecordLimit(upstream, vaneyoke.Limit{Named: true, Rate: 2.8}, time.Now()) })
 	<-entered
-	answers.Go(func() { n.Answered(upstream, vaneyoke.Limit{}, time.Now()) })
-	answers.Wait()
+	responses.Go(func() { n.RecordLimit(upstream, vaneyoke.Limit{}, time.Now()) })
+	responses.Wait()
 	must.False(t, n.Limited("u1"))
-	must.Eq(t, []bool{true, false}, told)
+	must.Eq(t, []bool{true, false}, updates)
 }
--- a/shell/ratelimits/account_test.go
+++ b/shell/ratelimits/usage_tracker_test.go
@@ -15,29 +15,29 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// TestAccountTellsWhatWasSent has a limit be named, changed and ended, and counts what goes to the upstream meanwhile.
-func TestAccountTellsWhatWasSent(t *testing.T) {
+// TestUsageTrackerLogsSentRequests declares, changes and withdraws a limit, and checks the counts of what is sent to the upstream meanwhile.
+func TestUsageTrackerLogsSentRequests(t *testing.T) {
 	var out bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&out)
 	vars := new(expvar.Map).Init()
-	a := ratelimits.NewAccount(ratelimits.NewMetrics(vars), log)
+	tracker := ratelimits.NewUsageTracker(ratelimits.NewMetrics(vars), log)
 	now := time.Unix(1000, 0)
 	limit := func(rate vaneyoke.PerSecond) vaneyoke.Limit { return vaneyoke.Limit{Named: true, Rate: rate} }
-	a.Sending(now, "u1", forward.KindFirst) // nothing is known of it yet
-	a.Named(now, "u1", vaneyoke.Limit{})
-	a.Named(now, "u1", limit(2.8))
-	a.Named(now, "u1", limit(2.8))
+	tracker.RecordSent(now, "u1", forward.KindFirst) // its limit is not known yet
+	tracker.SetLimit(now, "u1", vaneyoke.Limit{})
+	tracker.SetLimit(now, "u1", limit(2.8))
+	tracker.SetLimit(now, "u1", limit(2.8))
 	for _, kind := range []forward.Kind{forward.KindFirst, forward.KindFirst, forward.KindRepeat, forward.KindQuestion} {
-		a.Sending(now, "u1", kind)
-		a.Sending(now, "u2", kind)
+		tracker.RecordSent(now, "u1", kind)
+		tracker.RecordSent(now, "u2", kind)
 	}
 	must.EqOp(t, "", out.String())
 	now = now.Add(1500 * time.Millisecond)
-	a.Sending(now, "u1", forward.KindRepeat)
+	tracker.RecordSent(now, "u1", forward.KindRepeat)
 	must.StrContains(t, out.String(), "msg=limit_used first=2 ms=1500 questions=1 rate=2.8 repeats=2 upstream=u1")
-	a.Named(now, "u1", limit(1))
-	a.Named(now, "u1", vaneyoke.Limit{})
+	tracker.SetLimit(now, "u1", limit(1))
+	tracker.SetLimit(now, "u1", vaneyoke.Limit{})
 	must.EqOp(t, 2, strings.Count(out.String(), "limit_used"))
 	must.StrContains(t, vars.String(), `"first_sent_total": 2`)
 	must.StrContains(t, vars.String(), `"named_total": 1`)
