--- a/shell/ratelimits/node_test.go
+++ b/shell/ratelimits/node_test.go
@@ -26,7 +26,7 @@
 	var mu sync.Mutex
 	var updates []bool
 	n := ratelimits.New("vm-0", "a", noop{}, noop{}, func(_ vaneyoke.UpstreamID, limit vaneyoke.Limit) {
-		if limit.Named {
+		if limit.Declared {
 			close(entered)
 			select {
 			case <-cleared: // the second update overtook this one
@@ -37,12 +37,12 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		updates = append(updates, limit.Named)
+		updates = append(updates, limit.Declared)
 	}, ratelimits.NewMetrics(new(expvar.Map).Init()), log)
 	defer n.Close()
 	upstream := vaneyoke.Upstream{ID: "u1"}
 	var responses sync.WaitGroup
-	responses.Go(func() { n.RecordLimit(upstream, vaneyoke.Limit{Named: true, Rate: 2.8}, time.Now()) })
+	responses.Go(func() { n.RecordLimit(upstream, vaneyoke.Limit{Declared: true, Rate: 2.8}, time.Now()) })
 	<-entered
 	responses.Go(func() { n.RecordLimit(upstream, vaneyoke.Limit{}, time.Now()) })
 	responses.Wait()
--- a/shell/ratelimits/usage_tracker.go
+++ b/shell/ratelimits/usage_tracker.go
@@ -59,11 +59,11 @@
 	defer t.mu.Unlock()
 	u := t.limited[upstream]
 	switch {
-	case u == nil && !limit.Named:
+	case u == nil && !limit.Declared:
 	case u == nil:
 		t.limited[upstream] = &upstreamUsage{limit: limit, since: now}
 		t.metrics.counts.Add("named_total", 1)
-	case !limit.Named:
+	case !limit.Declared:
 		t.logUsage(now, upstream, u)
 		delete(t.limited, upstream)
 		t.metrics.counts.Add("ended_total", 1)
--- a/shell/ratelimits/usage_tracker_test.go
+++ b/shell/ratelimits/usage_tracker_test.go
@@ -23,7 +23,7 @@
 	vars := new(expvar.Map).Init()
 	tracker := ratelimits.NewUsageTracker(ratelimits.NewMetrics(vars), log)
 	now := time.Unix(1000, 0)
-	limit := func(rate vaneyoke.PerSecond) vaneyoke.Limit { return vaneyoke.Limit{Named: true, Rate: rate} }
+	limit := func(rate vaneyoke.PerSecond) vaneyoke.Limit { return vaneyoke.Limit{Declared: true, Rate: rate} }
 	tracker.RecordSent(now, "u1", forward.KindFirst) // its limit is not known yet
 	tracker.SetLimit(now, "u1", vaneyoke.Limit{})
 	tracker.SetLimit(now, "u1", limit(2.8))
