--- a/decide/feed/decide.go
+++ b/decide/feed/decide.go
@@ -13,15 +13,15 @@
 	}
 	if s.isRoot() && s.source != nil && s.reader == s.self.VM && s.Fresh(now) {
 		s.source, s.homeAt = nil, time.Time{}
-		s.emit(Leave{})
+		s.emit(Unfollow{})
 	}
 	if s.source == nil {
 		s.tryNext(now)
 		return
 	}
 	if !s.homeAt.IsZero() && !now.Before(s.homeAt) && len(s.choices) > 0 {
-		s.homeAt = now.Add(s.vary(s.config.Return))
-		s.emit(Ask{s.choices[0]})
+		s.homeAt = now.Add(s.vary(s.config.FailbackInterval))
+		s.emit(QueryStatus{s.choices[0]})
 	}
 }
 
@@ -32,7 +32,7 @@
 	}
 	if s.choice >= len(s.choices) {
 		s.choice = 0
-		s.retryAt = now.Add(s.vary(s.config.Retry))
+		s.retryAt = now.Add(s.vary(s.config.RetryInterval))
 		return
 	}
 	s.choice++
@@ -55,19 +55,19 @@
 	}
 	s.tries++
 	s.tryAt = now.Add(s.vary(s.pause()))
-	if !s.readsWhenOld() && s.rng.Float64()*float64(s.tree.size(s.self.DataCentre)) < s.config.Scouts {
+	if !s.readsWhenOld() && s.rng.Float64()*float64(s.tree.size(s.self.DataCentre)) < s.config.Probes {
 		s.scouting = true
 		return
 	}
 	if m, ok := s.anyOther(); ok {
-		s.emit(Ask{m})
+		s.emit(QueryStatus{m})
 	}
 }
 
 // pause returns the time to the next try.
 func (s *State) pause() time.Duration {
 	const mostDoublings = 8
-	return min(s.config.Lead<<min(s.tries, mostDoublings), s.config.Longest)
+	return min(s.config.StaleGrace<<min(s.tries, mostDoublings), s.config.MaxSearchInterval)
 }
 
 // anyOther returns a member at random other than the node and the one that it follows.
@@ -87,7 +87,7 @@
 
 // readsWhenOld reports whether it is the node's place to read the store while its tables are old.
 func (s *State) readsWhenOld() bool {
-	return s.tree != nil && s.tree.place(s.self) < s.config.Standby
+	return s.tree != nil && s.tree.place(s.self) < s.config.Standbys
 }
 
 // relies reports whether the node has its tables from another one that can be relied on.
@@ -101,13 +101,13 @@
 	}
 	if reading != s.reading {
 		s.reading = reading
-		s.emit(Read{reading})
+		s.emit(SetReadMode{reading})
 	}
 }
 
-func (s *State) wanted(now time.Time) Reading {
+func (s *State) wanted(now time.Time) ReadMode {
 	switch {
-	case s.tree == nil && now.Before(s.started.Add(s.config.First)):
+	case s.tree == nil && now.Before(s.started.Add(s.config.MemberWait)):
 		return ReadMembers
 	case s.tree == nil: // the list of members may be all that fails
 		return ReadAll
@@ -128,7 +128,7 @@
 
 // readsAll reports whether the node reads the store until it finds another one to rely on.
 func (s *State) readsAll(now time.Time) bool {
-	if s.isNew && !s.held && now.Before(s.started.Add(s.config.First)) {
+	if s.isNew && !s.held && now.Before(s.started.Add(s.config.MemberWait)) {
 		return false
 	}
 	if s.isRoot() || s.alone() {
@@ -151,7 +151,7 @@
 	if s.oldSince.IsZero() {
 		return time.Time{}
 	}
-	return s.oldSince.Add(s.config.Lead)
+	return s.oldSince.Add(s.config.StaleGrace)
 }
 
 // offer offers the tables to those that may lack them: to nodes below that do not follow, and, where the tables are old or the
@@ -164,29 +164,29 @@
 	if !s.Fresh(now) || s.reader == s.self.VM && !s.isRoot() {
 		to = append(to, s.choices...)
 		if s.tree.place(s.self) == 0 || s.reader == s.self.VM {
-			to = append(to, s.tree.Heads()...)
+			to = append(to, s.tree.Roots()...)
 		}
 	}
 	to = lo.UniqBy(to, func(m Member) string { return m.Address })
 	to = lo.Reject(to, func(m Member, _ int) bool { return m.VM == s.self.VM || m.Address == "" })
-	s.offerAt = now.Add(s.vary(s.config.Offer))
+	s.offerAt = now.Add(s.vary(s.config.OfferInterval))
 	if len(to) == 0 {
 		return
 	}
-	if len(to) > s.config.MostSent {
+	if len(to) > s.config.MaxOffers {
 		s.rng.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-		to = to[:s.config.MostSent]
+		to = to[:s.config.MaxOffers]
 	}
-	s.emit(Offer{to})
+	s.emit(SendOffers{to})
 }
 
 // lacking returns the nodes right below that do not follow this one, and those below these.
 func (s *State) lacking() []Member {
 	follows := func(m Member, _ int) bool { return s.followers[m.VM] > 0 }
-	below := lo.Reject(s.tree.Below(s.self), follows)
+	below := lo.Reject(s.tree.Children(s.self), follows)
 	lacking := below
 	for _, m := range below {
-		lacking = append(lacking, lo.Reject(s.tree.Below(m), follows)...)
+		lacking = append(lacking, lo.Reject(s.tree.Children(m), follows)...)
 	}
 	return lacking
 }
--- a/decide/feed/event.go
+++ b/decide/feed/event.go
@@ -8,10 +8,10 @@
 )
 
 // Word is what a node says of its tables.
-type Word struct {
-	Age    time.Duration // how long ago the store confirmed them
-	Known  bool          // whether it holds all tables
-	Reader vaneyoke.VMID // the node that the store told so
+type TableStatus struct {
+	Age      time.Duration // how long ago the store confirmed them
+	Complete bool          // whether it holds all tables
+	Reader   vaneyoke.VMID // the node that the store told so
 }
 
 // Event is something that a node learns.
@@ -21,55 +21,55 @@
 type Started struct{}
 
 // Members tells the members of the fleet as they are registered.
-type Members struct{ All []Member }
+type MembersUpdated struct{ Members []Member }
 
 // Told says that the node that is followed has spoken, and that its tables were taken in.
-type Told struct {
-	From vaneyoke.VMID
-	Word Word
+type StatusReceived struct {
+	From   vaneyoke.VMID
+	Status TableStatus
 }
 
 // Lost says that a node cannot be followed, or not any more.
-type Lost struct{ From vaneyoke.VMID }
+type SourceLost struct{ From vaneyoke.VMID }
 
 // Answered is a node's answer to Ask.
-type Answered struct {
-	From Member
-	Word Word
+type QueryAnswered struct {
+	From   Member
+	Status TableStatus
 }
 
 // Offered says that another node offers its tables.
-type Offered struct {
-	From Member
-	Word Word
+type OfferReceived struct {
+	From   Member
+	Status TableStatus
 }
 
 // StoreRead says that the store has answered this node's own call; Word says what the node's tables are then.
-type StoreRead struct{ Word Word }
+type StoreRead struct{ Status TableStatus }
 
 // StoreFailed says that a call to the store failed.
 type StoreFailed struct{}
 
 // Followed says that another node began to follow this one.
-type Followed struct{ By vaneyoke.VMID }
+type FollowerAdded struct{ VM vaneyoke.VMID }
 
 // Unfollowed says that another node ended to follow this one.
-type Unfollowed struct{ By vaneyoke.VMID }
+type FollowerRemoved struct{ VM vaneyoke.VMID }
 
 // Tick says that the time has come that State.Next told.
 type Tick struct{}
 
-func (Started) event()     {}
-func (Members) event()     {}
-func (Told) event()        {}
-func (Lost) event()        {}
-func (Answered) event()    {}
-func (Offered) event()     {}
-func (StoreRead) event()   {}
-func (StoreFailed) event() {}
-func (Followed) event()    {}
-func (Unfollowed) event()  {}
-func (Tick) event()        {}
+func (Started) event()         {}
+func (MembersUpdated) event()  {}
+func (StatusReceived) event()  {}
+func (SourceLost) event()      {}
+func (QueryAnswered) event()   {}
+func (OfferReceived) event()   {}
+func (StoreRead) event()       {}
+func (StoreFailed) event()     {}
+func (FollowerAdded) event()   {}
+func (FollowerRemoved) event() {}
+func (Tick) event()            {}
 
 // Effect is something that the node has to do.
 type Effect interface{ effect() }
@@ -78,33 +78,33 @@
 type Follow struct{ Member Member }
 
 // Leave has the node follow nobody.
-type Leave struct{}
+type Unfollow struct{}
 
 // Read has the node read the store in another way than so far.
-type Read struct{ Reading Reading }
+type SetReadMode struct{ Mode ReadMode }
 
 // Ask has the node ask another one what its tables are; without an answer nothing follows.
-type Ask struct{ Member Member }
+type QueryStatus struct{ Member Member }
 
 // Offer has the node offer its tables to others, who need not answer.
-type Offer struct{ To []Member }
+type SendOffers struct{ To []Member }
 
-func (Follow) effect() {}
-func (Leave) effect()  {}
-func (Read) effect()   {}
-func (Ask) effect()    {}
-func (Offer) effect()  {}
+func (Follow) effect()      {}
+func (Unfollow) effect()    {}
+func (SetReadMode) effect() {}
+func (QueryStatus) effect() {}
+func (SendOffers) effect()  {}
 
 // Reading is how a node reads the store.
-type Reading int
+type ReadMode int
 
 // The ways of reading the store.
 const (
-	ReadNothing Reading = iota
-	ReadMembers         // the list of members alone, by a node that does not know whom to ask
-	ReadOnce            // one call, to find out whether the store answers; all tables where it does
-	ReadAll             // all tables, for good
+	ReadNothing ReadMode = iota
+	ReadMembers          // the list of members alone, by a node that does not know whom to ask
+	ReadOnce             // one call, to find out whether the store answers; all tables where it does
+	ReadAll              // all tables, for good
 )
 
 // String names the way of reading.
-func (r Reading) String() string { return names.Of(r, "nothing", "members", "once", "all") }
+func (r ReadMode) String() string { return names.Of(r, "nothing", "members", "once", "all") }
--- a/decide/feed/fleet_test.go
+++ b/decide/feed/fleet_test.go
@@ -110,19 +110,19 @@
 func TestMembersAloneFail(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := feed.New(feed.Member{VM: "a"}, feed.DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
-	must.Eq(t, []feed.Effect{feed.Read{Reading: feed.ReadMembers}}, s.Handle(now, feed.Started{}))
+	must.Eq(t, []feed.Effect{feed.SetReadMode{Mode: feed.ReadMembers}}, s.Handle(now, feed.Started{}))
 	must.SliceEmpty(t, s.Handle(now.Add(100*time.Millisecond), feed.StoreFailed{}))
-	now = s.Next(now)
+	now = s.NextTick(now)
 	for range 3 {
 		if effects := s.Handle(now, feed.Tick{}); len(effects) > 0 {
-			must.Eq(t, []feed.Effect{feed.Read{Reading: feed.ReadAll}}, effects)
+			must.Eq(t, []feed.Effect{feed.SetReadMode{Mode: feed.ReadAll}}, effects)
 		}
-		now = s.Next(now)
+		now = s.NextTick(now)
 	}
-	must.EqOp(t, feed.ReadAll, s.Reading())
-	s.Handle(now, feed.StoreRead{Word: feed.Word{Known: true, Reader: "a"}})
+	must.EqOp(t, feed.ReadAll, s.ReadMode())
+	s.Handle(now, feed.StoreRead{Status: feed.TableStatus{Complete: true, Reader: "a"}})
 	must.True(t, s.Fresh(now))
-	must.EqOp(t, feed.ReadAll, s.Reading())
+	must.EqOp(t, feed.ReadAll, s.ReadMode())
 }
 
 // TestLongOutage holds that the calls of a long outage do not grow with the nodes.
@@ -146,7 +146,7 @@
 	for began := w.now; w.now.Sub(began) < during; w.run(step) {
 		for _, n := range w.nodes {
 			if n.up {
-				oldest = max(oldest, n.state.Word(w.now).Age)
+				oldest = max(oldest, n.state.Status(w.now).Age)
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 	cases := map[string]func(w *world, i int, n *node) bool{
 		"the reader":               func(_ *world, _ int, n *node) bool { return n.reading == feed.ReadAll },
 		"a third":                  func(_ *world, i int, _ *node) bool { return i%3 == 0 },
-		"most that have followers": func(w *world, _ int, n *node) bool { return n.state.Followers() > 0 && w.rng.Float64() < 0.9 },
+		"most that have followers": func(w *world, _ int, n *node) bool { return n.state.FollowerCount() > 0 && w.rng.Float64() < 0.9 },
 	}
 	for name, cut := range cases {
 		for i, size := range slices.Concat(sizes, sizes) {
--- a/decide/feed/member.go
+++ b/decide/feed/member.go
@@ -13,20 +13,20 @@
 	DataCentre vaneyoke.DataCentreID `json:"data_centre"`
 	Address    string                `json:"address"`             // IP number and port at which it tells the tables
 	Bandwidth  float64               `json:"bandwidth,omitempty"` // of its VM's link in Mbit/s; 0 where it is not known
-	Speaks     Dialect               `json:"speaks,omitempty"`
+	Protocol   ProtocolVersion       `json:"speaks,omitempty"`
 }
 
 // Dialect tells what a node's build understands of what nodes say to one another; a later one understands all that earlier ones do.
-type Dialect int
+type ProtocolVersion int
 
 // The dialects. What came after the first is sent only to members that tell it, since builds of the first may not bear it.
 const (
-	DialectFirst  Dialect = iota // of all builds that do not tell
-	DialectLimits                // sightings of what requests did, and messages of limits, which such a build keeps with the others
+	ProtocolInitial ProtocolVersion = iota // of all builds that do not tell
+	ProtocolLimits                         // sightings of what requests did, and messages of limits, which such a build keeps with the others
 )
 
 // DialectOwn is that of this build.
-const DialectOwn = DialectLimits
+const ProtocolCurrent = ProtocolLimits
 
 // Outranks reports whether a member comes before another in the order of those that read for the rest.
 func (m Member) Outranks(other Member) bool { return compareRanks(rankOf(m), rankOf(other)) < 0 }
--- a/decide/feed/state.go
+++ b/decide/feed/state.go
@@ -37,7 +37,7 @@
 	tries    int       // to find fresh ones since then
 	tryAt    time.Time
 
-	reading  Reading
+	reading  ReadMode
 	scouting bool // whether the node tries the store although it is not its place
 	scouted  bool // whether it found that the store answers
 
@@ -67,25 +67,25 @@
 	switch e := event.(type) {
 	case Started:
 		s.started = now
-	case Members:
-		s.setMembers(now, e.All)
-	case Told:
+	case MembersUpdated:
+		s.setMembers(now, e.Members)
+	case StatusReceived:
 		s.told(now, e)
-	case Lost:
+	case SourceLost:
 		s.lost(now, e)
-	case Answered:
+	case QueryAnswered:
 		s.answered(now, e)
-	case Offered:
+	case OfferReceived:
 		s.offered(now, e)
 	case StoreRead:
-		s.take(now, e.Word)
+		s.take(now, e.Status)
 		s.scouted = s.scouting
 	case StoreFailed:
 		s.scouting, s.scouted = false, false
-	case Followed:
-		s.followers[e.By]++
-	case Unfollowed:
-		s.unfollowed(e.By)
+	case FollowerAdded:
+		s.followers[e.VM]++
+	case FollowerRemoved:
+		s.unfollowed(e.VM)
 	case Tick:
 	}
 	if s.held && !held {
@@ -96,9 +96,9 @@
 }
 
 // Next returns when the node has to decide anew though nothing has happened.
-func (s *State) Next(now time.Time) time.Time {
-	next := now.Add(s.config.Longest)
-	for _, at := range []time.Time{s.retryAt, s.homeAt, s.tryAt, s.offerAt, s.started.Add(s.config.First), s.leadEnds()} {
+func (s *State) NextTick(now time.Time) time.Time {
+	next := now.Add(s.config.MaxSearchInterval)
+	for _, at := range []time.Time{s.retryAt, s.homeAt, s.tryAt, s.offerAt, s.started.Add(s.config.MemberWait), s.leadEnds()} {
 		if at.After(now) && at.Before(next) {
 			next = at
 		}
@@ -115,20 +115,22 @@
 }
 
 // Reading returns how the node reads the store.
-func (s *State) Reading() Reading { return s.reading }
+func (s *State) ReadMode() ReadMode { return s.reading }
 
 // FollowerVMs returns the nodes that follow this one, sorted.
 func (s *State) FollowerVMs() []vaneyoke.VMID { return slices.Sorted(maps.Keys(s.followers)) }
 
 // Followers returns how many nodes follow this one.
-func (s *State) Followers() int { return len(s.followers) }
+func (s *State) FollowerCount() int { return len(s.followers) }
 
 // Fresh reports whether the node's tables are not old.
-func (s *State) Fresh(now time.Time) bool { return s.held && now.Sub(s.confirmed) <= s.config.OldAge }
+func (s *State) Fresh(now time.Time) bool {
+	return s.held && now.Sub(s.confirmed) <= s.config.StaleAfter
+}
 
 // Word returns what the node says of its tables.
-func (s *State) Word(now time.Time) Word {
-	return Word{Age: now.Sub(s.confirmed), Known: s.held, Reader: s.reader}
+func (s *State) Status(now time.Time) TableStatus {
+	return TableStatus{Age: now.Sub(s.confirmed), Complete: s.held, Reader: s.reader}
 }
 
 // decide does whatever the node's present state asks for.
@@ -148,15 +150,15 @@
 	}
 	if s.oldSince.IsZero() {
 		s.oldSince = now
-		s.tryAt = now.Add(s.vary(s.config.Lead))
+		s.tryAt = now.Add(s.vary(s.config.StaleGrace))
 	}
 }
 
 func (s *State) setMembers(now time.Time, all []Member) {
 	first := s.tree == nil
 	s.tree = NewTree(all)
-	s.isNew = s.isNew || first && !s.tree.Holds(s.self)
-	s.choices = s.tree.Above(s.self, s.config.Choices)
+	s.isNew = s.isNew || first && !s.tree.Contains(s.self)
+	s.choices = s.tree.Candidates(s.self, s.config.MaxCandidates)
 	if first || s.source == nil {
 		s.choice, s.retryAt = 0, now
 	}
@@ -165,27 +167,27 @@
 	}
 }
 
-func (s *State) told(now time.Time, e Told) {
+func (s *State) told(now time.Time, e StatusReceived) {
 	if s.source == nil || s.source.member.VM != e.From {
 		return
 	}
-	s.take(now, e.Word)
+	s.take(now, e.Status)
 	if !s.source.spoken && s.isFirstChoice(s.source.member) {
 		s.homeAt = time.Time{}
 	}
 	s.source.spoken = true
-	s.source.fresh = s.reliable(e.Word)
+	s.source.fresh = s.reliable(e.Status)
 	s.choice = 0
 }
 
 // reliable reports whether tables are not old, and not this node's own.
-func (s *State) reliable(w Word) bool {
-	return w.Known && w.Age <= s.config.OldAge && w.Reader != s.self.VM
+func (s *State) reliable(w TableStatus) bool {
+	return w.Complete && w.Age <= s.config.StaleAfter && w.Reader != s.self.VM
 }
 
 // take takes in what is known of the node's tables after others were taken in.
-func (s *State) take(now time.Time, w Word) {
-	if !w.Known {
+func (s *State) take(now time.Time, w TableStatus) {
+	if !w.Complete {
 		return
 	}
 	s.held = true
@@ -194,7 +196,7 @@
 	}
 }
 
-func (s *State) lost(now time.Time, e Lost) {
+func (s *State) lost(now time.Time, e SourceLost) {
 	if s.source == nil || s.source.member.VM != e.From {
 		return
 	}
@@ -206,20 +208,20 @@
 }
 
 // answered takes in what a node says that was asked: it is followed where its tables are better, or where it is the first choice.
-func (s *State) answered(now time.Time, e Answered) {
-	better := s.reliable(e.Word) && !s.Fresh(now) || e.Word.Known && !s.held
-	home := s.isFirstChoice(e.From) && e.Word.Known && (s.reliable(e.Word) || !s.Fresh(now))
+func (s *State) answered(now time.Time, e QueryAnswered) {
+	better := s.reliable(e.Status) && !s.Fresh(now) || e.Status.Complete && !s.held
+	home := s.isFirstChoice(e.From) && e.Status.Complete && (s.reliable(e.Status) || !s.Fresh(now))
 	if better || home {
 		s.follow(now, e.From)
 	}
 }
 
 // offered follows a node that offers better tables, unless another one has just been asked.
-func (s *State) offered(now time.Time, e Offered) {
-	if s.source != nil && !s.source.spoken && now.Sub(s.source.since) < s.config.Lead || s.source != nil && s.source.member.VM == e.From.VM {
+func (s *State) offered(now time.Time, e OfferReceived) {
+	if s.source != nil && !s.source.spoken && now.Sub(s.source.since) < s.config.StaleGrace || s.source != nil && s.source.member.VM == e.From.VM {
 		return
 	}
-	if s.reliable(e.Word) && !s.Fresh(now) || e.Word.Known && !s.held {
+	if s.reliable(e.Status) && !s.Fresh(now) || e.Status.Complete && !s.held {
 		s.follow(now, e.From)
 	}
 }
@@ -235,9 +237,9 @@
 // homePause returns the time after which the first choice is asked again: soon where what is followed is no better.
 func (s *State) homePause() time.Duration {
 	if s.source != nil && s.source.fresh {
-		return s.config.Return
+		return s.config.FailbackInterval
 	}
-	return s.config.Lead
+	return s.config.StaleGrace
 }
 
 // vary spreads a pause by a quarter either way, so that nodes do not act as one.
--- a/decide/feed/tree.go
+++ b/decide/feed/tree.go
@@ -65,7 +65,7 @@
 //
 // The first of each makes a tree over the ranks, in which no node has more than fanOut followers of its data centre; after it come the nodes
 // that the first one follows itself, up to the highest, and then the highest others.
-func (t *Tree) Above(self Member, most int) []Member {
+func (t *Tree) Candidates(self Member, most int) []Member {
 	place := t.place(self)
 	if place == 0 {
 		heads := lo.Filter(t.heads, func(m Member, _ int) bool { return m.DataCentre != self.DataCentre && m.Outranks(self) })
@@ -89,7 +89,7 @@
 }
 
 // Below returns the members of a member's data centre that follow it first.
-func (t *Tree) Below(m Member) []Member {
+func (t *Tree) Children(m Member) []Member {
 	members := t.centres[m.DataCentre].members
 	first := t.place(m)*fanOut + 1
 	if first >= len(members) {
@@ -99,10 +99,10 @@
 }
 
 // Heads returns the highest member of each data centre, by rank.
-func (t *Tree) Heads() []Member { return t.heads }
+func (t *Tree) Roots() []Member { return t.heads }
 
 // Holds reports whether a member stands in the tree as it is.
-func (t *Tree) Holds(m Member) bool {
+func (t *Tree) Contains(m Member) bool {
 	members, at := t.centres[m.DataCentre].members, t.place(m)
 	return at < len(members) && members[at] == m
 }
--- a/decide/feed/tree_test.go
+++ b/decide/feed/tree_test.go
@@ -29,7 +29,7 @@
 	abroad := map[vaneyoke.DataCentreID]int{}
 	followers := map[vaneyoke.VMID]int{}
 	for _, self := range all {
-		asked := NewTree(all).Above(self, 3)
+		asked := NewTree(all).Candidates(self, 3)
 		must.LessEq(t, 3, len(asked))
 		if len(asked) == 0 {
 			readers++
@@ -57,7 +57,7 @@
 		must.LessEq(t, fanOut, n, must.Sprint(vm))
 	}
 	alone := Member{VM: "c-0", DataCentre: "d", Bandwidth: 1}
-	must.SliceEmpty(t, NewTree(append(all, alone)).Above(alone, 3))
+	must.SliceEmpty(t, NewTree(append(all, alone)).Candidates(alone, 3))
 }
 
 // TestBelow holds that the members below one are those that ask it first.
@@ -67,20 +67,20 @@
 	for _, m := range all {
 		want := map[vaneyoke.VMID]bool{}
 		for _, other := range all {
-			if above := tree.Above(other, 1); len(above) > 0 && above[0] == m && other.DataCentre == m.DataCentre {
+			if above := tree.Candidates(other, 1); len(above) > 0 && above[0] == m && other.DataCentre == m.DataCentre {
 				want[other.VM] = true
 			}
 		}
 		got := map[vaneyoke.VMID]bool{}
-		for _, other := range tree.Below(m) {
+		for _, other := range tree.Children(m) {
 			got[other.VM] = true
 		}
 		must.Eq(t, want, got, must.Sprint(m.VM))
-		must.True(t, tree.Holds(m))
+		must.True(t, tree.Contains(m))
 		m.Address = "elsewhere"
-		must.False(t, tree.Holds(m))
+		must.False(t, tree.Contains(m))
 	}
-	must.False(t, tree.Holds(Member{VM: "x", DataCentre: "x"}))
+	must.False(t, tree.Contains(Member{VM: "x", DataCentre: "x"}))
 }
 
 // TestSourcesInOrder holds whom a member of each place in the order of its data centre asks, one after the other: the node
@@ -103,7 +103,7 @@
 		9:  {"vm-2", "vm-0", "vm-1"},
 		19: {"vm-4", "vm-0", "vm-1"},
 	} {
-		got := lo.Map(NewTree(fleet).Above(all[place], 3), func(m Member, _ int) vaneyoke.VMID { return m.VM })
+		got := lo.Map(NewTree(fleet).Candidates(all[place], 3), func(m Member, _ int) vaneyoke.VMID { return m.VM })
 		must.Eq(t, want, got, must.Sprint(place))
 	}
 }
@@ -119,7 +119,7 @@
 	for _, self := range all {
 		steps, at := 0, self
 		for {
-			asked := NewTree(all).Above(at, 3)
+			asked := NewTree(all).Candidates(at, 3)
 			if len(asked) == 0 {
 				break
 			}
--- a/decide/feed/world_test.go
+++ b/decide/feed/world_test.go
@@ -46,7 +46,7 @@
 	up        bool
 	dark      bool // without power: it does not even refuse connections
 	cut       bool // from the store
-	reading   feed.Reading
+	reading   feed.ReadMode
 	read      int // counts the ways of reading
 	failures  int
 	members   bool
@@ -163,16 +163,16 @@
 	if !n.up {
 		return
 	}
-	before := n.state.Word(n.w.now)
+	before := n.state.Status(n.w.now)
 	effects := n.state.Handle(n.w.now, e)
-	after := n.state.Word(n.w.now)
-	if after.Known && n.heldAt.IsZero() {
+	after := n.state.Status(n.w.now)
+	if after.Complete && n.heldAt.IsZero() {
 		n.heldAt = n.w.now
 	}
 	for _, effect := range effects {
 		n.do(effect)
 	}
-	if after.Known && (!before.Known || before.Age-after.Age > 100*time.Millisecond) {
+	if after.Complete && (!before.Complete || before.Age-after.Age > 100*time.Millisecond) {
 		for s := range n.streams {
 			s.tell()
 		}
@@ -182,7 +182,7 @@
 
 // sleep has the node decide anew at the time that its state tells.
 func (n *node) sleep() {
-	life, at := n.life, n.state.Next(n.w.now)
+	life, at := n.life, n.state.NextTick(n.w.now)
 	n.wake = at
 	n.w.after(at.Sub(n.w.now), func() {
 		if n.life == life && n.wake.Equal(at) {
@@ -197,29 +197,29 @@
 	case feed.Follow:
 		n.follows++
 		n.connect(e.Member, n.follows)
-	case feed.Leave:
+	case feed.Unfollow:
 		n.follows++
-	case feed.Read:
-		n.reading = e.Reading
+	case feed.SetReadMode:
+		n.reading = e.Mode
 		n.read++
 		n.call(n.read, 0)
-	case feed.Ask:
+	case feed.QueryStatus:
 		n.w.asks++
 		n.w.after(hop, func() {
 			if to := n.w.byVM[e.Member.VM]; to.up {
-				word := to.state.Word(n.w.now)
+				word := to.state.Status(n.w.now)
 				n.w.after(hop, func() {
 					if n.life == life {
-						n.handle(feed.Answered{From: to.member, Word: word})
+						n.handle(feed.QueryAnswered{From: to.member, Status: word})
 					}
 				})
 			}
 		})
-	case feed.Offer:
+	case feed.SendOffers:
 		n.w.offers += len(e.To)
-		word := n.state.Word(n.w.now)
+		word := n.state.Status(n.w.now)
 		for _, m := range e.To {
-			n.w.after(hop, func() { n.w.byVM[m.VM].handle(feed.Offered{From: n.member, Word: word}) })
+			n.w.after(hop, func() { n.w.byVM[m.VM].handle(feed.OfferReceived{From: n.member, Status: word}) })
 		}
 	}
 }
@@ -243,7 +243,7 @@
 		}
 		s.to.streams[s] = true
 		s.to.busiest = max(s.to.busiest, len(s.to.streams))
-		s.to.handle(feed.Followed{By: n.member.VM})
+		s.to.handle(feed.FollowerAdded{VM: n.member.VM})
 		s.beat()
 	})
 }
@@ -263,35 +263,35 @@
 }
 
 func (s *stream) tell() {
-	word := s.to.state.Word(s.to.w.now)
+	word := s.to.state.Status(s.to.w.now)
 	s.from.w.after(hop, func() {
 		if !s.holds() {
 			return
 		}
-		if word.Known {
+		if word.Complete {
 			s.from.learnMembers()
 		}
-		s.from.handle(feed.Told{From: s.to.member.VM, Word: word})
+		s.from.handle(feed.StatusReceived{From: s.to.member.VM, Status: word})
 	})
 }
 
 func (s *stream) lost() {
 	if s.from.up && s.from.life == s.life[0] && s.from.follows == s.follow {
-		s.from.handle(feed.Lost{From: s.to.member.VM})
+		s.from.handle(feed.SourceLost{From: s.to.member.VM})
 	}
 }
 
 func (s *stream) end() {
 	if s.to.up && s.to.life == s.life[1] && s.to.streams[s] {
 		delete(s.to.streams, s)
-		s.to.handle(feed.Unfollowed{By: s.from.member.VM})
+		s.to.handle(feed.FollowerRemoved{VM: s.from.member.VM})
 	}
 }
 
 func (n *node) learnMembers() {
 	if !n.members {
 		n.members = true
-		n.handle(feed.Members{All: n.w.members})
+		n.handle(feed.MembersUpdated{Members: n.w.members})
 	}
 }
 
@@ -314,7 +314,7 @@
 			n.failures = 0
 			n.learnMembers()
 			if n.read == read && n.reading != feed.ReadMembers {
-				n.handle(feed.StoreRead{Word: feed.Word{Known: true, Reader: n.member.VM}})
+				n.handle(feed.StoreRead{Status: feed.TableStatus{Complete: true, Reader: n.member.VM}})
 			}
 			n.call(read, poll)
 		})
--- a/decide/freshness/property_test.go
+++ b/decide/freshness/property_test.go
@@ -58,7 +58,7 @@
 	for i := range w.nodes {
 		w.nodes[i] = freshness.New(members[i], lasts)
 		w.nodes[i].Apply(1, members)
-		w.nodes[i].ReadStore(w.now.Add(-time.Hour), 1)
+		w.nodes[i].RecordStoreRead(w.now.Add(-time.Hour), 1)
 	}
 	w.restarts = rapid.IntRange(0, 3).Draw(t, "restarts") == 0
 	if w.restarts && rapid.Bool().Draw(t, "missed") {
@@ -143,7 +143,7 @@
 	}
 	c := call{from: i, to: j, began: w.now, revision: w.store}
 	if j < nodes {
-		c.revision = w.nodes[j].Confirms()
+		c.revision = w.nodes[j].ConfirmableRevision()
 		if w.mutant.forgetful {
 			c.revision = w.nodes[j].Revision()
 		}
@@ -174,12 +174,12 @@
 		revision = min(revision, node.Revision())
 	}
 	if c.to == nodes {
-		node.ReadStore(began, revision)
+		node.RecordStoreRead(began, revision)
 		return
 	}
-	node.HeardPeer(began, members[c.to], revision)
+	node.RecordPeerAnswer(began, members[c.to], revision)
 	for k := range max(w.mutant.majority-1, 0) {
-		node.HeardPeer(began, members[(c.to+k+1)%nodes], revision)
+		node.RecordPeerAnswer(began, members[(c.to+k+1)%nodes], revision)
 	}
 }
 
@@ -244,28 +244,28 @@
 func TestNodeThatHasForgottenDoesNotCount(t *testing.T) {
 	now := time.Unix(100, 0)
 	again := freshness.New("c", lasts)
-	must.EqOp(t, 0, again.Confirms())
+	must.EqOp(t, 0, again.ConfirmableRevision())
 	again.Apply(7, members) // from a node that the change never reached
-	must.EqOp(t, 0, again.Confirms())
+	must.EqOp(t, 0, again.ConfirmableRevision())
 	old := freshness.New("a", lasts)
 	old.Apply(7, members)
-	old.ReadStore(now.Add(-time.Hour), 7)
-	old.HeardPeer(now, "b", 7)
-	old.HeardPeer(now, "c", again.Confirms())
+	old.RecordStoreRead(now.Add(-time.Hour), 7)
+	old.RecordPeerAnswer(now, "b", 7)
+	old.RecordPeerAnswer(now, "c", again.ConfirmableRevision())
 	must.False(t, old.Fresh(now))
 
-	again.HeardPeer(now, "a", 7)
-	again.HeardPeer(now, "b", 7) // with itself they would be a majority
+	again.RecordPeerAnswer(now, "a", 7)
+	again.RecordPeerAnswer(now, "b", 7) // with itself they would be a majority
 	must.False(t, again.Fresh(now))
-	must.EqOp(t, 0, again.Confirms())
-	again.HeardPeer(now, "d", 7)
+	must.EqOp(t, 0, again.ConfirmableRevision())
+	again.RecordPeerAnswer(now, "d", 7)
 	must.True(t, again.Fresh(now))
-	must.EqOp(t, 7, again.Confirms())
+	must.EqOp(t, 7, again.ConfirmableRevision())
 
 	read := freshness.New("c", lasts)
 	read.Apply(8, members)
-	read.ReadStore(now, 8)
-	must.EqOp(t, 8, read.Confirms())
+	read.RecordStoreRead(now, 8)
+	must.EqOp(t, 8, read.ConfirmableRevision())
 }
 
 func TestFleetGoesOnWhileTheStoreIsDown(t *testing.T) {
@@ -284,9 +284,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := freshness.New("a", lasts)
 			s.Apply(7, members)
-			s.ReadStore(now.Add(-time.Hour), 7)
+			s.RecordStoreRead(now.Add(-time.Hour), 7)
 			for _, vm := range tc.heard {
-				s.HeardPeer(now, vm, 7)
+				s.RecordPeerAnswer(now, vm, 7)
 			}
 			must.EqOp(t, tc.fresh, s.Fresh(now.Add(time.Second)))
 			must.False(t, s.Fresh(now.Add(lasts)))
--- a/decide/freshness/state.go
+++ b/decide/freshness/state.go
@@ -38,7 +38,7 @@
 }
 
 // ReadStore notes a read of the store's revision that began at the given time; it confirms the node only where the node has that revision.
-func (s *State) ReadStore(began time.Time, revision vaneyoke.Revision) {
+func (s *State) RecordStoreRead(began time.Time, revision vaneyoke.Revision) {
 	if revision <= s.revision && began.After(s.store) {
 		s.store, s.sure = began, true
 	}
@@ -46,7 +46,7 @@
 
 // Confirms returns the revision that the node may confirm to others: none before it was confirmed itself, because a node
 // that starts again has forgotten what it helped to accept.
-func (s *State) Confirms() vaneyoke.Revision {
+func (s *State) ConfirmableRevision() vaneyoke.Revision {
 	if !s.sure {
 		return 0
 	}
@@ -55,7 +55,7 @@
 
 // HeardPeer notes what a node confirms in answer to a call that began at the given time; it counts only where that node confirms anything, and
 // nothing newer.
-func (s *State) HeardPeer(began time.Time, vm vaneyoke.VMID, revision vaneyoke.Revision) {
+func (s *State) RecordPeerAnswer(began time.Time, vm vaneyoke.VMID, revision vaneyoke.Revision) {
 	if revision == 0 || revision > s.revision || !began.After(s.peers[vm]) {
 		return
 	}
--- a/decide/gossip/bench_test.go
+++ b/decide/gossip/bench_test.go
@@ -14,15 +14,15 @@
 func BenchmarkSightings(b *testing.B) {
 	s := gossip.New("vm0", 0)
 	now := time.Unix(1000, 0)
-	s.Handle(now, gossip.Neighbours{VMs: []vaneyoke.VMID{"vm1", "vm2", "vm3", "vm4"}})
+	s.Handle(now, gossip.NeighboursUpdated{VMs: []vaneyoke.VMID{"vm1", "vm2", "vm3", "vm4"}})
 	number := uint64(0)
 	for b.Loop() {
 		number++
 		now = now.Add(time.Second / 400)
-		s.Handle(now, gossip.Told{From: "vm1", Sightings: []gossip.Sighting{{
-			Origin: "vm9", Number: number, Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", number%900)), Kind: gossip.KindUnreachable,
+		s.Handle(now, gossip.SightingsReceived{From: "vm1", Sightings: []gossip.Sighting{{
+			Origin: "vm9", Sequence: number, Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", number%900)), Kind: gossip.KindUnreachable,
 		}}})
-		if at := s.Next(); !at.IsZero() && !now.Before(at) {
+		if at := s.NextTick(); !at.IsZero() && !now.Before(at) {
 			s.Handle(now, gossip.Tick{})
 		}
 	}
--- a/decide/gossip/fleet_test.go
+++ b/decide/gossip/fleet_test.go
@@ -57,7 +57,7 @@
 		for child := i*fanOut + 1; child <= i*fanOut+fanOut && child < nodes; child++ {
 			neighbours = append(neighbours, vm(child))
 		}
-		m.gossip.Handle(f.now, gossip.Neighbours{VMs: neighbours})
+		m.gossip.Handle(f.now, gossip.NeighboursUpdated{VMs: neighbours})
 		f.nodes = append(f.nodes, m)
 	}
 	return f
@@ -67,15 +67,15 @@
 	m := f.nodes[i]
 	for _, effect := range m.gossip.Handle(f.now, ev) {
 		switch e := effect.(type) {
-		case gossip.Believe:
+		case gossip.ApplySighting:
 			m.placer.RecordGossip(f.now, e.Sighting.Upstream, e.Sighting.Kind)
-		case gossip.Send:
+		case gossip.SendSightings:
 			f.send(i, e)
 		}
 	}
 }
 
-func (f *fleet) send(from int, e gossip.Send) {
+func (f *fleet) send(from int, e gossip.SendSightings) {
 	f.sent[from]++
 	f.largest = max(f.largest, len(e.Sightings))
 	if f.mute || f.rng.Float64() < f.lossy {
@@ -96,10 +96,10 @@
 			f.flying = append(f.flying, d)
 			continue
 		}
-		f.handle(d.to, gossip.Told{From: vm(d.from), Sightings: d.sightings})
+		f.handle(d.to, gossip.SightingsReceived{From: vm(d.from), Sightings: d.sightings})
 	}
 	for i, m := range f.nodes {
-		if at := m.gossip.Next(); !at.IsZero() && !f.now.Before(at) {
+		if at := m.gossip.NextTick(); !at.IsZero() && !f.now.Before(at) {
 			f.handle(i, gossip.Tick{})
 		}
 	}
@@ -107,7 +107,7 @@
 
 // answered notes that an upstream answered a node.
 func (f *fleet) answered(i int, id vaneyoke.UpstreamID) {
-	f.handle(i, gossip.Seen{Upstream: id, Kind: gossip.KindWell})
+	f.handle(i, gossip.Observed{Upstream: id, Kind: gossip.KindHealthy})
 }
 
 func services(count int) []vaneyoke.Upstream {
@@ -143,7 +143,7 @@
 						lostOnce++
 					}
 					m.placer.Ended(f.now, u.ID, placement.OutcomeLost, false)
-					f.handle(i, gossip.Seen{Upstream: u.ID, Kind: gossip.KindLost})
+					f.handle(i, gossip.Observed{Upstream: u.ID, Kind: gossip.KindLost})
 					break
 				}
 				m.placer.FirstToken(f.now, u.ID, 30*time.Millisecond, 0)
@@ -186,7 +186,7 @@
 						}
 						declined++
 						m.placer.Ended(f.now, u.ID, placement.OutcomeGone, false)
-						f.handle(i, gossip.Seen{Upstream: u.ID, Kind: gossip.KindGone})
+						f.handle(i, gossip.Observed{Upstream: u.ID, Kind: gossip.KindReplaced})
 					}
 				}
 			}
@@ -214,7 +214,7 @@
 	for since := time.Duration(0); since < 4*time.Second; since += step {
 		f.pass()
 		if since%(40*time.Millisecond) == 0 {
-			f.handle(7, gossip.Seen{Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", f.rng.IntN(20))), Kind: gossip.KindUnreachable})
+			f.handle(7, gossip.Observed{Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", f.rng.IntN(20))), Kind: gossip.KindUnreachable})
 		}
 		for i, m := range f.nodes {
 			for _, load := range m.placer.Loads(time.Time{}) {
@@ -226,7 +226,7 @@
 	must.Positive(t, before)
 	for since := time.Duration(0); since < time.Second; since += step {
 		f.pass()
-		f.handle(7, gossip.Seen{Upstream: "u3", Kind: gossip.KindUnreachable})
+		f.handle(7, gossip.Observed{Upstream: "u3", Kind: gossip.KindUnreachable})
 	}
 	must.EqOp(t, before, f.sent[7])
 }
@@ -248,7 +248,7 @@
 		return n
 	}
 	for i := range 3 {
-		f.handle(4+i, gossip.Seen{Upstream: "u2", Kind: gossip.KindLost})
+		f.handle(4+i, gossip.Observed{Upstream: "u2", Kind: gossip.KindLost})
 		f.pass()
 	}
 	for range 40 {
@@ -267,7 +267,7 @@
 	f := newFleet(2, services(1))
 	f.answered(0, "u0")
 	for i := range 10_000 {
-		f.handle(0, gossip.Seen{Upstream: vaneyoke.UpstreamID(fmt.Sprint("x", i)), Kind: gossip.KindLost})
+		f.handle(0, gossip.Observed{Upstream: vaneyoke.UpstreamID(fmt.Sprint("x", i)), Kind: gossip.KindLost})
 	}
 	f.pass()
 	f.pass()
--- a/decide/gossip/state.go
+++ b/decide/gossip/state.go
@@ -60,17 +60,17 @@
 }
 
 // Next returns when Tick is due, the zero time for not at all.
-func (s *State) Next() time.Time { return s.flushAt }
+func (s *State) NextTick() time.Time { return s.flushAt }
 
 // Handle takes in an event and returns what has to be done; the slice is valid until the next call.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = s.effects[:0]
 	switch ev := ev.(type) {
-	case Neighbours:
+	case NeighboursUpdated:
 		s.neighbours = ev.VMs
-	case Seen:
+	case Observed:
 		s.seen(now, ev)
-	case Told:
+	case SightingsReceived:
 		for _, sighting := range ev.Sightings {
 			s.told(now, ev.From, sighting)
 		}
@@ -82,10 +82,10 @@
 
 // seen tells what this node saw, unless it has told the same a moment ago. That an upstream answers is told only where another
 // node has seen it fail.
-func (s *State) seen(now time.Time, ev Seen) {
+func (s *State) seen(now time.Time, ev Observed) {
 	pause := pauseRest
 	switch ev.Kind {
-	case KindWell:
+	case KindHealthy:
 		s.answeredAt = now
 		if s.witnesses(now, ev.Upstream) == 0 {
 			return
@@ -98,7 +98,7 @@
 	default:
 		s.fail(now, ev.Upstream, s.self)
 	}
-	if !ev.Kind.OfRun() && now.Sub(s.answeredAt) > serving {
+	if !ev.Kind.AboutContent() && now.Sub(s.answeredAt) > serving {
 		return
 	}
 	what := matter{ev.Upstream, ev.Kind, ev.Run}
@@ -107,15 +107,15 @@
 	}
 	s.toldAt[what] = now
 	s.number++
-	sighting := Sighting{Origin: s.self, Number: s.number, Upstream: ev.Upstream, Kind: ev.Kind, Run: ev.Run}
+	sighting := Sighting{Origin: s.self, Sequence: s.number, Upstream: ev.Upstream, Kind: ev.Kind, Run: ev.Run}
 	s.known[key{s.self, s.number}] = now
 	s.keep(now, s.self, sighting)
 }
 
 // told takes in what another node tells, and tells it on once.
 func (s *State) told(now time.Time, from vaneyoke.VMID, sighting Sighting) {
-	k := key{sighting.Origin, sighting.Number}
-	if _, ok := s.known[k]; ok || sighting.Origin == s.self || sighting.Hops >= mostHops || !sighting.Sound() {
+	k := key{sighting.Origin, sighting.Sequence}
+	if _, ok := s.known[k]; ok || sighting.Origin == s.self || sighting.Hops >= mostHops || !sighting.Valid() {
 		return
 	}
 	s.known[k] = now
@@ -123,7 +123,7 @@
 	s.keep(now, from, sighting)
 	switch sighting.Kind {
 	case KindCrash, KindSurvived:
-	case KindWell:
+	case KindHealthy:
 		delete(s.failures, sighting.Upstream)
 	case KindUnreachable:
 		s.fail(now, sighting.Upstream, sighting.Origin)
@@ -133,7 +133,7 @@
 	default:
 		s.fail(now, sighting.Upstream, sighting.Origin)
 	}
-	s.effects = append(s.effects, Believe{Sighting: sighting})
+	s.effects = append(s.effects, ApplySighting{Sighting: sighting})
 }
 
 func (s *State) fail(now time.Time, upstream vaneyoke.UpstreamID, origin vaneyoke.VMID) {
@@ -155,7 +155,7 @@
 
 func (s *State) keep(now time.Time, from vaneyoke.VMID, sighting Sighting) {
 	most := mostKept
-	if sighting.Kind.OfRun() { // few, and each counts
+	if sighting.Kind.AboutContent() { // few, and each counts
 		most *= 2
 	}
 	if len(s.outbox) >= most || len(s.neighbours) == 0 {
@@ -178,7 +178,7 @@
 		}
 		for len(sightings) > 0 {
 			n := min(len(sightings), mostTold)
-			s.effects = append(s.effects, Send{To: to, Sightings: sightings[:n]})
+			s.effects = append(s.effects, SendSightings{To: to, Sightings: sightings[:n]})
 			sightings = sightings[n:]
 		}
 	}
--- a/decide/placement/gossip.go
+++ b/decide/placement/gossip.go
@@ -19,9 +19,9 @@
 		e.breaker.Failed(now)
 	case gossip.KindUnreachable:
 		e.breaker.Open(now)
-	case gossip.KindGone:
+	case gossip.KindReplaced:
 		e.goneUntil = now.Add(goneTTL)
-	case gossip.KindWell:
+	case gossip.KindHealthy:
 		e.breaker.Succeeded()
 	default: // does not concern the connection to it
 	}
--- a/decide/placement/pushback_sim_test.go
+++ b/decide/placement/pushback_sim_test.go
@@ -180,7 +180,7 @@
 			sim.nodes[sim.rng.IntN(len(sim.nodes))] = sim.newNode()
 		}
 	case 3: // other nodes gossip what they observed of it
-		kind := []gossip.Kind{gossip.KindWell, gossip.KindLost, gossip.KindUnreachable}[sim.rng.IntN(3)]
+		kind := []gossip.Kind{gossip.KindHealthy, gossip.KindLost, gossip.KindUnreachable}[sim.rng.IntN(3)]
 		for _, n := range sim.nodes {
 			n.state.RecordGossip(sim.now, u.upstream.ID, kind)
 		}
--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -30,7 +30,7 @@
 			s.FirstToken(now, "u0", time.Millisecond, 0)
 			s.Ended(now, "u0", placement.OutcomeDone, true)
 		},
-		"another node reports it healthy": func(s *placement.State) { s.RecordGossip(now, "u0", gossip.KindWell) },
+		"another node reports it healthy": func(s *placement.State) { s.RecordGossip(now, "u0", gossip.KindHealthy) },
 		"its entry is listed again":       func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")}) },
 		"its entry lapses and is listed again": func(s *placement.State) {
 			s.SetUpstreams(nil)
--- a/decide/placement/restart_test.go
+++ b/decide/placement/restart_test.go
@@ -30,7 +30,7 @@
 			s.Sent(now, "u")
 			s.Ended(now, "u", placement.OutcomeGone, false)
 		},
-		"a node gossiped that another has its address": func(s *placement.State) { s.RecordGossip(now, "u", gossip.KindGone) },
+		"a node gossiped that another has its address": func(s *placement.State) { s.RecordGossip(now, "u", gossip.KindReplaced) },
 		"a node gossiped that it is unreachable":       func(s *placement.State) { s.RecordGossip(now, "u", gossip.KindUnreachable) },
 	}
 	restarts := map[string]func(s *placement.State){
@@ -72,7 +72,7 @@
 	u := vaneyoke.Upstream{ID: "u", Kind: need.Kind, Service: "lm", State: vaneyoke.StateLive, URL: "http://x", Incarnation: 6}
 	s := placement.New("a", retry.DefaultBreakerConfig())
 	s.SetUpstreams([]vaneyoke.Upstream{u})
-	s.RecordGossip(now, "u", gossip.KindGone)
+	s.RecordGossip(now, "u", gossip.KindReplaced)
 	must.False(t, s.TakesWork(now, "u"))
 	must.True(t, s.TakesWork(now.Add(6*time.Second), "u"))
 }
--- a/decide/quarantine/simulation_network_test.go
+++ b/decide/quarantine/simulation_network_test.go
@@ -60,7 +60,7 @@
 		for child := position*fanOut + 1; child <= position*fanOut+fanOut && child < len(members); child++ {
 			neighbours = append(neighbours, vm(members[child]))
 		}
-		sim.nodes[i].gossip.Handle(sim.now, gossip.Neighbours{VMs: neighbours})
+		sim.nodes[i].gossip.Handle(sim.now, gossip.NeighboursUpdated{VMs: neighbours})
 	}
 	sim.rebuildTreeAt = time.Time{}
 }
@@ -72,9 +72,9 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case quarantine.BroadcastCrash:
-			sim.gossip(i, gossip.Seen{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.EarlierCrashes}})
+			sim.gossip(i, gossip.Observed{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.EarlierCrashes}})
 		case quarantine.BroadcastCompletion:
-			sim.gossip(i, gossip.Seen{Kind: gossip.KindSurvived, Run: gossip.Run{Content: e.Content}})
+			sim.gossip(i, gossip.Observed{Kind: gossip.KindSurvived, Run: gossip.Run{Content: e.Content}})
 		case quarantine.WriteRow:
 			sim.callStore(i, func() { sim.write(e.Row) })
 		case quarantine.RemoveRow:
@@ -109,16 +109,16 @@
 	n := sim.nodes[i]
 	for _, effect := range slices.Clone(n.gossip.Handle(sim.now, ev)) {
 		switch e := effect.(type) {
-		case gossip.Believe:
+		case gossip.ApplySighting:
 			if e.Sighting.Kind == gossip.KindSurvived {
 				sim.handle(i, quarantine.CompletionReported{Content: e.Sighting.Content})
 				continue
 			}
 			sim.handle(i, quarantine.CrashReported{
 				Content: e.Sighting.Content, Origin: e.Sighting.Origin, FromNeighbour: e.Sighting.Hops == 1,
-				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, EarlierCrashes: e.Sighting.Again},
+				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, EarlierCrashes: e.Sighting.PriorCrashes},
 			})
-		case gossip.Send:
+		case gossip.SendSightings:
 			n.sentDatagrams++
 			sim.datagrams++
 			sim.maxPerNode = max(sim.maxPerNode, n.sentDatagrams)
--- a/decide/quarantine/simulation_test.go
+++ b/decide/quarantine/simulation_test.go
@@ -183,7 +183,7 @@
 		if !sim.isRunning(i) {
 			continue
 		}
-		if at := n.gossip.Next(); !at.IsZero() && !sim.now.Before(at) {
+		if at := n.gossip.NextTick(); !at.IsZero() && !sim.now.Before(at) {
 			sim.gossip(i, gossip.Tick{})
 		}
 		if at := n.state.NextTick(); !at.IsZero() && !sim.now.Before(at) {
@@ -204,7 +204,7 @@
 		case d.at.After(sim.now), sim.now.Before(n.frozenUntil): // a frozen node reads its datagrams when it resumes
 			sim.inFlight = append(sim.inFlight, d)
 		case sim.isRunning(d.to) && !n.partitioned && !sim.nodes[d.from].partitioned:
-			sim.gossip(d.to, gossip.Told{From: vm(d.from), Sightings: d.sightings})
+			sim.gossip(d.to, gossip.SightingsReceived{From: vm(d.from), Sightings: d.sightings})
 		}
 	}
 }
--- a/shell/catalog/follower.go
+++ b/shell/catalog/follower.go
@@ -73,7 +73,7 @@
 func (f *Follower) canConfirm() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fresh.Confirms() > 0
+	return f.fresh.ConfirmableRevision() > 0
 }
 
 // TriggerPoll makes Run read the store at once, because a newer revision has been reported.
@@ -130,7 +130,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fresh.ReadStore(startedAt, revision)
+	f.fresh.RecordStoreRead(startedAt, revision)
 	return nil
 }
 
@@ -184,7 +184,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fresh.HeardPeer(startedAt, vm, revision)
+	f.fresh.RecordPeerAnswer(startedAt, vm, revision)
 }
 
 func (f *Follower) activateFromPeer(vm vaneyoke.VMID, raw []byte) {
--- a/shell/mesh/config.go
+++ b/shell/mesh/config.go
@@ -47,7 +47,7 @@
 // its read of all tables because it knows no other member stays the same as at any other start.
 func (c Config) AtFirstStart() Config {
 	c.FirstStart = true
-	c.Feed.First += c.MembersReadDelay
+	c.Feed.MemberWait += c.MembersReadDelay
 	return c
 }
 
@@ -57,8 +57,8 @@
 // InForceWithin returns the configuration for a fleet in which a change must take effect on all nodes within the bound. Tables become stale
 // after at most half of it, which leaves a node whose source has lost the store the other half to find another source.
 func (c Config) InForceWithin(bound time.Duration) Config {
-	c.Feed.OldAge = min(c.Feed.OldAge, bound/2)
-	c.Reader.PollWait = min(c.Reader.PollWait, max(c.Feed.OldAge-waitMargin, c.Feed.OldAge/2))
-	c.Feed.Lead = min(c.Feed.Lead, bound/10)
+	c.Feed.StaleAfter = min(c.Feed.StaleAfter, bound/2)
+	c.Reader.PollWait = min(c.Reader.PollWait, max(c.Feed.StaleAfter-waitMargin, c.Feed.StaleAfter/2))
+	c.Feed.StaleGrace = min(c.Feed.StaleGrace, bound/10)
 	return c
 }
--- a/shell/mesh/datagram.go
+++ b/shell/mesh/datagram.go
@@ -34,7 +34,7 @@
 // SendLimits sends a message about rate limits to a member, unless its build does not support them.
 func (n *Node) SendLimits(to vaneyoke.VMID, m ratelimits.Message) {
 	member, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == to })
-	if !ok || member.Speaks < feed.DialectLimits {
+	if !ok || member.Protocol < feed.ProtocolLimits {
 		return
 	}
 	if len(m.Notices) == 0 {
--- a/shell/mesh/datagram_test.go
+++ b/shell/mesh/datagram_test.go
@@ -41,14 +41,14 @@
 	must.NoError(t, err)
 	f.Status = &status
 	hub.applyFrame(now, f, p)
-	must.True(t, hub.Status(now).Known)
+	must.True(t, hub.Status(now).Complete)
 	_, held := hub.heldQuery()["spare"]
 	must.False(t, held)
 	reader := NewHub(map[string]Table{"t": {Apply: ignore}, "spare": {Apply: ignore, MayLag: true, Optional: true}})
 	setConfirmed(reader, now, "t", watch.Rows{}, 5, now)
-	must.False(t, reader.Status(now).Known) // a node that reads the store itself waits for all tables
+	must.False(t, reader.Status(now).Complete) // a node that reads the store itself waits for all tables
 	setConfirmed(reader, now, "spare", watch.Rows{}, 6, now)
-	must.True(t, reader.Status(now).Known)
+	must.True(t, reader.Status(now).Complete)
 	_, _, known := hub.Snapshot("spare")
 	must.False(t, known)
 }
@@ -65,7 +65,7 @@
 	n := idleNode()
 	n.datagrams.Store(&own)
 	n.SetMembers([]feed.Member{
-		{VM: "takes", Address: supporting.LocalAddr().String(), Speaks: feed.DialectLimits}, {VM: "earlier", Address: earlier.LocalAddr().String()},
+		{VM: "takes", Address: supporting.LocalAddr().String(), Protocol: feed.ProtocolLimits}, {VM: "earlier", Address: earlier.LocalAddr().String()},
 	})
 	for _, vm := range []vaneyoke.VMID{"takes", "earlier", "unknown"} {
 		n.SendLimits(vm, ratelimits.Message{From: "self"})
@@ -89,21 +89,21 @@
 	own, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = own.Close() })
-	for protocol, want := range map[feed.Dialect]string{feed.DialectFirst: "lost", feed.DialectOwn: "lost crash survived"} {
+	for protocol, want := range map[feed.ProtocolVersion]string{feed.ProtocolInitial: "lost", feed.ProtocolCurrent: "lost crash survived"} {
 		to, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = to.Close() })
 		n := idleNode()
 		n.datagrams.Store(&own)
-		n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Speaks: feed.DialectOwn}}) // the row may have been written by a later build
+		n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Protocol: feed.ProtocolCurrent}}) // the row may have been written by a later build
 		defer n.neighbours.connected("to", protocol)()
-		n.sendSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindCrash}}}) // the first build gets no datagram at all, not even an empty one
-		n.sendSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindLost}, {Kind: gossip.KindCrash}, {Kind: gossip.KindSurvived}}})
+		n.sendSightings(gossip.SendSightings{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindCrash}}}) // the first build gets no datagram at all, not even an empty one
+		n.sendSightings(gossip.SendSightings{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindLost}, {Kind: gossip.KindCrash}, {Kind: gossip.KindSurvived}}})
 		buffer := make([]byte, maxReceivedBytes)
 		must.NoError(t, to.SetReadDeadline(time.Now().Add(20*time.Second)))
 		size, _, err := to.ReadFrom(buffer)
 		must.NoError(t, err)
-		if protocol != feed.DialectFirst {
+		if protocol != feed.ProtocolInitial {
 			size, _, err = to.ReadFrom(buffer)
 			must.NoError(t, err)
 		}
--- a/shell/mesh/first_start_test.go
+++ b/shell/mesh/first_start_test.go
@@ -15,5 +15,5 @@
 	usual := mesh.DefaultConfig()
 	first := usual.AtFirstStart()
 	must.True(t, first.FirstStart)
-	must.EqOp(t, usual.Feed.First, first.Feed.First-first.MembersReadDelay)
+	must.EqOp(t, usual.Feed.MemberWait, first.Feed.MemberWait-first.MembersReadDelay)
 }
--- a/shell/mesh/follow.go
+++ b/shell/mesh/follow.go
@@ -29,7 +29,7 @@
 		return
 	}
 	n.log.WithFields(logrus.Fields{"peer": m.VM, "relied": wasFresh, "error": err}).Info("peer_lost")
-	n.post(ctx, feed.Lost{From: m.VM})
+	n.post(ctx, feed.SourceLost{From: m.VM})
 }
 
 // follow applies the updates of a member; wasFresh reports whether its tables were fresh at any time.
@@ -82,8 +82,8 @@
 		if f.Status == nil {
 			continue
 		}
-		wasFresh = wasFresh || f.Status.Complete && f.Status.decode().Age <= n.config.Feed.OldAge
-		n.post(ctx, feed.Told{From: m.VM, Word: f.Status.decode()})
+		wasFresh = wasFresh || f.Status.Complete && f.Status.decode().Age <= n.config.Feed.StaleAfter
+		n.post(ctx, feed.StatusReceived{From: m.VM, Status: f.Status.decode()})
 	}
 }
 
@@ -95,7 +95,7 @@
 	status, err := n.requestStatus(ctx, m)
 	n.log.WithFields(logrus.Fields{"peer": m.VM, "age_ms": status.AgeMs, "known": status.Complete, "reader": status.Reader, "error": err}).Info("peer_asked")
 	if err == nil {
-		n.post(ctx, feed.Answered{From: m, Word: status.decode()})
+		n.post(ctx, feed.QueryAnswered{From: m, Status: status.decode()})
 	}
 }
 
--- a/shell/mesh/frame.go
+++ b/shell/mesh/frame.go
@@ -28,17 +28,17 @@
 }
 
 // newTableStatus returns the encoded form of a status.
-func newTableStatus(status feed.Word) tableStatus {
-	return tableStatus{AgeMs: status.Age.Milliseconds(), Complete: status.Known, Reader: status.Reader}
+func newTableStatus(status feed.TableStatus) tableStatus {
+	return tableStatus{AgeMs: status.Age.Milliseconds(), Complete: status.Complete, Reader: status.Reader}
 }
 
 // maxAge caps the age in a status received from another node.
 const maxAge = 24 * time.Hour
 
 // decode returns the status with its age limited to the range from 0 to maxAge.
-func (s tableStatus) decode() feed.Word {
+func (s tableStatus) decode() feed.TableStatus {
 	age := min(max(s.AgeMs, 0), maxAge.Milliseconds())
-	return feed.Word{Age: time.Duration(age) * time.Millisecond, Known: s.Complete, Reader: s.Reader}
+	return feed.TableStatus{Age: time.Duration(age) * time.Millisecond, Complete: s.Complete, Reader: s.Reader}
 }
 
 // tableUpdate is the delta from an earlier version of a table to a later one.
--- a/shell/mesh/gossip.go
+++ b/shell/mesh/gossip.go
@@ -41,33 +41,33 @@
 
 // Seen sends the other nodes what this node observed of an upstream.
 func (g *Gossip) Seen(upstream vaneyoke.UpstreamID, kind gossip.Kind) {
-	g.handle(gossip.Seen{Upstream: upstream, Kind: kind})
+	g.handle(gossip.Observed{Upstream: upstream, Kind: kind})
 }
 
 // SeenRun sends the other nodes what effect a request had on an upstream.
 func (g *Gossip) SeenRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run) {
-	g.handle(gossip.Seen{Upstream: upstream, Kind: kind, Run: run})
+	g.handle(gossip.Observed{Upstream: upstream, Kind: kind, Run: run})
 }
 
 func (g *Gossip) handle(event gossip.Event) {
 	var applied []gossip.Sighting
-	var sends []gossip.Send
+	var sends []gossip.SendSightings
 	g.mu.Lock()
 	for _, effect := range g.state.Handle(time.Now(), event) {
 		switch e := effect.(type) {
-		case gossip.Believe:
+		case gossip.ApplySighting:
 			applied = append(applied, e.Sighting)
-		case gossip.Send:
+		case gossip.SendSightings:
 			sends = append(sends, e)
 		}
 	}
-	if at := g.state.Next(); !at.IsZero() {
+	if at := g.state.NextTick(); !at.IsZero() {
 		g.timer.Reset(time.Until(at))
 	}
 	g.mu.Unlock()
 	for _, s := range applied {
 		g.node.metrics.countSightingReceived()
-		if !s.Kind.OfRun() {
+		if !s.Kind.AboutContent() {
 			g.node.logSighting(s)
 		}
 		g.apply(s)
@@ -89,13 +89,13 @@
 
 // sendSightings sends sightings to a neighbour. A neighbour whose build states no protocol version may be the first build with gossip, which
 // exits when it receives sightings about requests; it is sent only the others.
-func (n *Node) sendSightings(s gossip.Send) {
+func (n *Node) sendSightings(s gossip.SendSightings) {
 	to, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == s.To })
 	if !ok {
 		return
 	}
-	supportsContent := n.neighbours.protocol(s.To) >= feed.DialectLimits
-	sent := lo.Filter(s.Sightings, func(s gossip.Sighting, _ int) bool { return supportsContent || !s.Kind.OfRun() })
+	supportsContent := n.neighbours.protocol(s.To) >= feed.ProtocolLimits
+	sent := lo.Filter(s.Sightings, func(s gossip.Sighting, _ int) bool { return supportsContent || !s.Kind.AboutContent() })
 	if len(sent) == 0 {
 		return
 	}
@@ -110,7 +110,7 @@
 		return false
 	}
 	if g != nil && s.By != n.self.VM {
-		g.handle(gossip.Told{From: s.By, Sightings: s.All})
+		g.handle(gossip.SightingsReceived{From: s.By, Sightings: s.All})
 	}
 	return true
 }
@@ -122,7 +122,7 @@
 		neighbours = append(neighbours, source.VM)
 	}
 	if g := n.gossip.Load(); g != nil {
-		g.handle(gossip.Neighbours{VMs: neighbours})
+		g.handle(gossip.NeighboursUpdated{VMs: neighbours})
 	}
 	if n.onNeighbours != nil {
 		n.onNeighbours(neighbours)
--- a/shell/mesh/hub.go
+++ b/shell/mesh/hub.go
@@ -113,17 +113,17 @@
 
 // Status returns the status of the tables. Its age is the time since the oldest confirmation among the tables without MayLag. It is empty
 // while the rows of any table are missing.
-func (h *Hub) Status(now time.Time) feed.Word {
+func (h *Hub) Status(now time.Time) feed.TableStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.statusLocked(now)
 }
 
-func (h *Hub) statusLocked(now time.Time) feed.Word {
-	status := feed.Word{Known: true, Reader: h.reader}
+func (h *Hub) statusLocked(now time.Time) feed.TableStatus {
+	status := feed.TableStatus{Complete: true, Reader: h.reader}
 	for _, t := range h.tables {
 		if t.rows == nil && !t.missingAtSource {
-			return feed.Word{}
+			return feed.TableStatus{}
 		}
 		if !t.MayLag {
 			status.Age = max(status.Age, now.Sub(t.confirmed))
--- a/shell/mesh/hub_test.go
+++ b/shell/mesh/hub_test.go
@@ -22,7 +22,7 @@
 func TestHubIgnoresOlderVersions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	hub, got := newRecordingHub()
-	ok := hub.Status(now).Known
+	ok := hub.Status(now).Complete
 	must.False(t, ok)
 	setConfirmed(hub, now, "t", watch.Rows{"a": row("new", 5)}, 5, now)
 	setConfirmed(hub, now, "t", watch.Rows{"a": row("old", 3)}, 4, now.Add(time.Second))
@@ -30,7 +30,7 @@
 	setConfirmed(hub, now, "none", watch.Rows{}, 9, now)
 	hub.Confirm("t", 4, now.Add(time.Second), "reader") // an older version
 	status := hub.Status(now.Add(2 * time.Second))
-	age, ok := status.Age, status.Known
+	age, ok := status.Age, status.Complete
 	must.True(t, ok)
 	must.EqOp(t, 2*time.Second, age)
 	hub.Confirm("t", 7, now.Add(time.Second), "reader")
@@ -50,11 +50,11 @@
 	ignore := func(time.Time, watch.Rows) {}
 	hub := NewHub(map[string]Table{"strict": {Apply: ignore}, "lagging": {Apply: ignore, MayLag: true}})
 	setConfirmed(hub, now, "lagging", watch.Rows{}, 1, now)
-	ok := hub.Status(now).Known
+	ok := hub.Status(now).Complete
 	must.False(t, ok) // the other table has no rows yet
 	setConfirmed(hub, now, "strict", watch.Rows{}, 2, now.Add(time.Minute))
 	status := hub.Status(now.Add(time.Minute + time.Second))
-	age, ok := status.Age, status.Known
+	age, ok := status.Age, status.Complete
 	must.True(t, ok)
 	must.EqOp(t, time.Second, age)
 }
--- a/shell/mesh/node.go
+++ b/shell/mesh/node.go
@@ -173,14 +173,14 @@
 	defer timer.Stop()
 	for {
 		now := steady.Now()
-		timer.Reset(r.state.Next(now).Sub(now))
+		timer.Reset(r.state.NextTick(now).Sub(now))
 		select {
 		case <-ctx.Done():
 			return
 		case event := <-r.events:
 			r.handle(ctx, event)
 		case <-r.membersChanged:
-			r.handle(ctx, feed.Members{All: r.registeredMembers()})
+			r.handle(ctx, feed.MembersUpdated{Members: r.registeredMembers()})
 			r.reregisterIfRemoved(ctx)
 		case <-timer.C:
 			r.handle(ctx, feed.Tick{})
@@ -214,9 +214,9 @@
 func (r *runner) reportStatus(now time.Time) {
 	fresh := r.state.Fresh(now)
 	source, _ := r.state.Source()
-	status := r.state.Word(now)
+	status := r.state.Status(now)
 	r.metrics.setStatus(NodeStatus{
-		Source: source.VM, Followers: r.state.Followers(), Reading: r.state.Reading().String(), Fresh: fresh,
+		Source: source.VM, Followers: r.state.FollowerCount(), Reading: r.state.ReadMode().String(), Fresh: fresh,
 		Reader: status.Reader, AgeMs: status.Age.Milliseconds(),
 	})
 	if fresh == r.fresh {
@@ -238,21 +238,21 @@
 		followCtx, cancel := context.WithCancel(ctx)
 		r.cancelFollow = cancel
 		r.work.Go(func() { r.followUntilLost(followCtx, e.Member) })
-	case feed.Leave:
+	case feed.Unfollow:
 		r.cancelFollow()
-	case feed.Read:
+	case feed.SetReadMode:
 		r.cancelRead()
 		readCtx, cancel := context.WithCancel(ctx)
 		r.cancelRead = cancel
-		if e.Reading == feed.ReadNothing {
+		if e.Mode == feed.ReadNothing {
 			r.log.Info("leaves_store")
 		} else {
-			r.log.WithFields(logrus.Fields{"reading": e.Reading.String(), "members": r.Members()}).Info("reads_store")
+			r.log.WithFields(logrus.Fields{"reading": e.Mode.String(), "members": r.Members()}).Info("reads_store")
 		}
-		r.readStore(readCtx, e.Reading)
-	case feed.Ask:
+		r.readStore(readCtx, e.Mode)
+	case feed.QueryStatus:
 		r.work.Go(func() { r.queryStatus(ctx, e.Member) })
-	case feed.Offer:
+	case feed.SendOffers:
 		r.offer(e.To)
 	}
 }
--- a/shell/mesh/node_test.go
+++ b/shell/mesh/node_test.go
@@ -85,8 +85,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	config := DefaultConfig()
-	config.SettleTime, config.Feed.First, config.Feed.Lead, config.Feed.Retry = 20*time.Millisecond, 0, 20*time.Millisecond, 100*time.Millisecond
-	config.Feed.Return, config.Feed.Offer = 200*time.Millisecond, 50*time.Millisecond
+	config.SettleTime, config.Feed.MemberWait, config.Feed.StaleGrace, config.Feed.RetryInterval = 20*time.Millisecond, 0, 20*time.Millisecond, 100*time.Millisecond
+	config.Feed.FailbackInterval, config.Feed.OfferInterval = 200*time.Millisecond, 50*time.Millisecond
 	config.Reader.PollWait, config.Reader.PollSlack, config.Reader.BatchDelay = 40*time.Millisecond, 40*time.Millisecond, 0
 	change(&config)
 	peers := make([]*peer, count)
@@ -251,7 +251,7 @@
 // TestNextReaderResumesFromItsVersions kills the reader while all other nodes are reachable: only the next in rank may read the store, and
 // only the changes since the version that it holds.
 func TestNextReaderResumesFromItsVersions(t *testing.T) {
-	peers := startMeshWith(t, 5, func(c *Config) { c.Feed.First, c.Feed.Lead = time.Hour, time.Hour })
+	peers := startMeshWith(t, 5, func(c *Config) { c.Feed.MemberWait, c.Feed.StaleGrace = time.Hour, time.Hour })
 	waitUntil(t, allAtVersion(peers, 1))
 	reader := highestRanked(peers)
 	rest := without(peers, reader)
@@ -296,8 +296,8 @@
 // node may: its followers would consider its tables stale.
 func TestWatchConfigOfNewFleet(t *testing.T) {
 	n := New(feed.Member{VM: "vm-0", DataCentre: "a"}, DefaultConfig(), NewHub(nil), &fakeStore{}, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), logrus.New())
-	must.Less(t, n.config.Feed.OldAge, n.config.Reader.PollWait)
-	must.Greater(t, n.config.Feed.OldAge, n.config.SingleNode.PollWait)
+	must.Less(t, n.config.Feed.StaleAfter, n.config.Reader.PollWait)
+	must.Greater(t, n.config.Feed.StaleAfter, n.config.SingleNode.PollWait)
 	must.EqOp(t, n.config.Reader.PollWait, n.watchConfig().PollWait)
 	n.settled.Store(true)
 	must.EqOp(t, n.config.SingleNode.PollWait, n.watchConfig().PollWait)
@@ -310,8 +310,8 @@
 func TestTimingsFitPropagationBound(t *testing.T) {
 	for _, bound := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Minute} {
 		config := DefaultConfig().InForceWithin(bound)
-		must.Greater(t, config.Reader.PollWait, config.Feed.OldAge, must.Sprint(bound))
-		must.LessEq(t, bound*2/3, config.Feed.OldAge+config.Feed.Lead, must.Sprint(bound))
+		must.Greater(t, config.Reader.PollWait, config.Feed.StaleAfter, must.Sprint(bound))
+		must.LessEq(t, bound*2/3, config.Feed.StaleAfter+config.Feed.StaleGrace, must.Sprint(bound))
 	}
 	must.Eq(t, DefaultConfig(), DefaultConfig().InForceWithin(3*time.Second))
 }
--- a/shell/mesh/offer.go
+++ b/shell/mesh/offer.go
@@ -82,8 +82,8 @@
 
 // handleOffer handles an offer. Offers are logged only while this node lacks a table.
 func (n *Node) handleOffer(ctx context.Context, o offer) {
-	if own := n.hub.Status(steady.Now()); !own.Known {
+	if own := n.hub.Status(steady.Now()); !own.Complete {
 		n.log.WithFields(logrus.Fields{"peer": o.From.VM, "age_ms": o.Status.AgeMs, "reader": o.Status.Reader}).Info("tables_offered")
 	}
-	n.post(ctx, feed.Offered{From: o.From, Word: o.Status.decode()})
+	n.post(ctx, feed.OfferReceived{From: o.From, Status: o.Status.decode()})
 }
--- a/shell/mesh/protocol.go
+++ b/shell/mesh/protocol.go
@@ -15,36 +15,36 @@
 const protocolHeader = "Vaneyoke-Dialect"
 
 // protocolOf returns the protocol version from a message's header; a missing or invalid one means the first.
-func protocolOf(header http.Header) feed.Dialect {
+func protocolOf(header http.Header) feed.ProtocolVersion {
 	number, err := strconv.Atoi(header.Get(protocolHeader))
 	if err != nil || number < 0 {
-		return feed.DialectFirst
+		return feed.ProtocolInitial
 	}
-	return feed.Dialect(number)
+	return feed.ProtocolVersion(number)
 }
 
 func setProtocol(header http.Header) {
-	header.Set(protocolHeader, strconv.Itoa(int(feed.DialectOwn)))
+	header.Set(protocolHeader, strconv.Itoa(int(feed.ProtocolCurrent)))
 }
 
 // neighbours holds the protocol versions of the source and the followers of this node, by their open connections.
 type neighbours struct {
 	mu        sync.Mutex
-	protocols map[vaneyoke.VMID][]feed.Dialect // one per connection
+	protocols map[vaneyoke.VMID][]feed.ProtocolVersion // one per connection
 }
 
 // connected adds a connection with a node; the caller calls disconnect when it has ended.
-func (n *neighbours) connected(vm vaneyoke.VMID, protocol feed.Dialect) (disconnect func()) {
+func (n *neighbours) connected(vm vaneyoke.VMID, protocol feed.ProtocolVersion) (disconnect func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.protocols == nil {
-		n.protocols = map[vaneyoke.VMID][]feed.Dialect{}
+		n.protocols = map[vaneyoke.VMID][]feed.ProtocolVersion{}
 	}
 	n.protocols[vm] = append(n.protocols[vm], protocol)
 	return func() { n.disconnected(vm, protocol) }
 }
 
-func (n *neighbours) disconnected(vm vaneyoke.VMID, protocol feed.Dialect) {
+func (n *neighbours) disconnected(vm vaneyoke.VMID, protocol feed.ProtocolVersion) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	i := slices.Index(n.protocols[vm], protocol)
@@ -54,11 +54,11 @@
 }
 
 // protocol returns the lowest protocol version among a node's connections, the first if there is none.
-func (n *neighbours) protocol(vm vaneyoke.VMID) feed.Dialect {
+func (n *neighbours) protocol(vm vaneyoke.VMID) feed.ProtocolVersion {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.protocols[vm]) == 0 {
-		return feed.DialectFirst
+		return feed.ProtocolInitial
 	}
 	return slices.Min(n.protocols[vm])
 }
--- a/shell/mesh/prune.go
+++ b/shell/mesh/prune.go
@@ -95,7 +95,7 @@
 		return false
 	}
 	_ = res.Body.Close()
-	return protocolOf(res.Header) < m.Speaks
+	return protocolOf(res.Header) < m.Protocol
 }
 
 // removeMember removes a member's entry unless it has changed since this node read it.
--- a/shell/mesh/read.go
+++ b/shell/mesh/read.go
@@ -11,7 +11,7 @@
 )
 
 // readStore follows the store's tables in the given mode until ctx is done.
-func (r *runner) readStore(ctx context.Context, mode feed.Reading) {
+func (r *runner) readStore(ctx context.Context, mode feed.ReadMode) {
 	turns := watch.NewRetryGate()
 	for name := range r.hub.tables {
 		if mode == feed.ReadNothing || mode == feed.ReadMembers && name != r.config.MembersTable {
@@ -27,12 +27,12 @@
 }
 
 // waitsForOthers reports whether the node gives the others time to register, at the first start of the system.
-func (n *Node) waitsForOthers(mode feed.Reading) bool {
+func (n *Node) waitsForOthers(mode feed.ReadMode) bool {
 	return n.config.FirstStart && mode == feed.ReadMembers && n.registeredMembers() == nil
 }
 
 // newTableFollower returns a follower of one of the store's tables, which resumes from the version that the hub holds.
-func (n *Node) newTableFollower(ctx context.Context, name string, mode feed.Reading, turns *watch.RetryGate) *watch.Follower {
+func (n *Node) newTableFollower(ctx context.Context, name string, mode feed.ReadMode, turns *watch.RetryGate) *watch.Follower {
 	t := n.hub.tables[name]
 	watchConfig := func() watch.Config {
 		config := n.watchConfig()
@@ -108,5 +108,5 @@
 // Confirm records that the rows have not changed.
 func (s *hubSink) Confirm(now time.Time, version watch.Version) {
 	s.node.hub.Confirm(s.table, version, now, s.node.self.VM)
-	s.node.post(s.ctx, feed.StoreRead{Word: s.node.hub.Status(now)})
+	s.node.post(s.ctx, feed.StoreRead{Status: s.node.hub.Status(now)})
 }
--- a/shell/mesh/serve.go
+++ b/shell/mesh/serve.go
@@ -28,8 +28,8 @@
 	held := parseHeldVersions(r.URL.Query())
 	if follower := vaneyoke.VMID(followerOf(r.URL.Query())); follower != "" {
 		defer n.neighbours.connected(follower, protocolOf(r.Header))()
-		n.post(r.Context(), feed.Followed{By: follower})
-		defer n.post(context.WithoutCancel(r.Context()), feed.Unfollowed{By: follower})
+		n.post(r.Context(), feed.FollowerAdded{VM: follower})
+		defer n.post(context.WithoutCancel(r.Context()), feed.FollowerRemoved{VM: follower})
 	}
 	ticker := time.NewTicker(n.config.HeartbeatInterval)
 	defer ticker.Stop()
--- a/shell/quarantines/node.go
+++ b/shell/quarantines/node.go
@@ -129,7 +129,7 @@
 	n.metrics.counts.Add("crashes_heard_total", 1)
 	n.handle(quarantine.CrashReported{
 		Content: s.Content, Origin: s.Origin, FromNeighbour: s.Hops == 1,
-		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, EarlierCrashes: s.Again},
+		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, EarlierCrashes: s.PriorCrashes},
 	})
 }
 
@@ -169,7 +169,7 @@
 		n.log.WithFields(logrus.Fields{
 			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.EarlierCrashes,
 		}).Info("crash_told")
-		n.broadcaster.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.EarlierCrashes})
+		n.broadcaster.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.EarlierCrashes})
 	case quarantine.Dismiss:
 		n.metrics.counts.Add("crashes_dismissed_total", 1)
 		n.log.WithFields(logrus.Fields{
