--- a/decide/freshness/property_test.go
+++ b/decide/freshness/property_test.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	nodes = 5
-	lasts = 2 * time.Second
+	nodes    = 5
+	validity = 2 * time.Second
 )
 
 var members = []vaneyoke.VMID{"a", "b", "c", "d", "e"}
 
 // mutation takes out one part of the rule.
 type mutation struct {
-	majority  int  // answers that one answer counts for, 0 for the rule's own
-	atReply   bool // confirmations count from the reply on, not from the beginning of the call
-	eager     bool // a change is told as accepted once it is committed, without a majority
-	stale     bool // an answer that tells of a newer revision counts all the same
-	forgetful bool // a node's answers count although it has forgotten what it knew before its start
-	staleRead bool // a read of a newer revision counts although it is not in force yet
+	majority          int  // answers that one answer counts for; 0 keeps the rule
+	fromReply         bool // confirmations count from the reply, not from the start of the call
+	acceptEarly       bool // a change is reported as accepted once it is committed, without a majority
+	newerAnswer       bool // an answer with a newer revision counts
+	unconfirmedAnswer bool // a restarted node's answers count before it is confirmed again
+	newerRead         bool // a read of a newer revision counts although it is not in force yet
 }
 
-// call is a read or a question on its way.
+// call is a read of the store or a call to another node in flight.
 type call struct {
 	from, to int // to is nodes for the store
 	began    time.Time
-	revision vaneyoke.Revision // that the answer tells
+	revision vaneyoke.Revision // that the answer carries
 }
 
-// world is a store and five nodes that can be cut off from it, from one another, and paused.
-type world struct {
+// simulation is a store and five nodes that can be cut off from it and from one another, and restarted.
+type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	store    vaneyoke.Revision
@@ -49,164 +49,164 @@
 	calls    []call
 	accepted map[vaneyoke.Revision]time.Time
 	pending  vaneyoke.Revision // committed, not yet accepted
-	restarts bool              // whether nodes start again
-	mutant   mutation
+	restarts bool              // whether nodes restart
+	mutation mutation
 }
 
-func newWorld(t *rapid.T, mutant mutation) *world {
-	w := &world{t: t, now: time.Unix(100, 0), store: 1, accepted: map[vaneyoke.Revision]time.Time{}, mutant: mutant}
-	for i := range w.nodes {
-		w.nodes[i] = freshness.New(members[i], lasts)
-		w.nodes[i].Apply(1, members)
-		w.nodes[i].ReadStore(w.now.Add(-time.Hour), 1)
+func newSimulation(t *rapid.T, mutation mutation) *simulation {
+	sim := &simulation{t: t, now: time.Unix(100, 0), store: 1, accepted: map[vaneyoke.Revision]time.Time{}, mutation: mutation}
+	for i := range sim.nodes {
+		sim.nodes[i] = freshness.New(members[i], validity)
+		sim.nodes[i].Apply(1, members)
+		sim.nodes[i].RecordStoreRead(sim.now.Add(-time.Hour), 1)
 	}
-	w.restarts = rapid.IntRange(0, 3).Draw(t, "restarts") == 0
-	if w.restarts && rapid.Bool().Draw(t, "missed") {
-		w.miss()
+	sim.restarts = rapid.IntRange(0, 3).Draw(t, "restarts") == 0
+	if sim.restarts && rapid.Bool().Draw(t, "missed") {
+		sim.missChange()
 	}
 	if rapid.Bool().Draw(t, "partitioned") {
-		w.partition(rapid.IntRange(1, nodes-1).Draw(t, "side"))
+		sim.partition(rapid.IntRange(1, nodes-1).Draw(t, "side"))
 	}
-	return w
+	return sim
 }
 
-// miss has a change accepted that a minority has missed, and the store go down.
-func (w *world) miss() {
-	w.store, w.down = 2, true
-	w.accepted[2] = w.now.Add(-lasts)
+// missChange accepts a change that a minority has missed, and takes the store down.
+func (sim *simulation) missChange() {
+	sim.store, sim.down = 2, true
+	sim.accepted[2] = sim.now.Add(-validity)
 	for i := range freshness.Majority(nodes) {
-		w.nodes[i].Apply(2, members)
+		sim.nodes[i].Apply(2, members)
 	}
 }
 
 // partition cuts the first nodes off from the others and from the store.
-func (w *world) partition(size int) {
+func (sim *simulation) partition(size int) {
 	for i := range size {
 		for j := size; j <= nodes; j++ {
-			w.cut[i][j], w.cut[j][i] = true, true
+			sim.cut[i][j], sim.cut[j][i] = true, true
 		}
 	}
 }
 
-func (w *world) run() error {
-	for range rapid.IntRange(10, 80).Draw(w.t, "steps") {
-		w.step()
-		if err := w.check(); err != nil {
+func (sim *simulation) run() error {
+	for range rapid.IntRange(10, 80).Draw(sim.t, "steps") {
+		sim.step()
+		if err := sim.check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) step() {
-	i := rapid.IntRange(0, nodes-1).Draw(w.t, "node")
-	j := rapid.IntRange(0, nodes).Draw(w.t, "other")
+func (sim *simulation) step() {
+	i := rapid.IntRange(0, nodes-1).Draw(sim.t, "node")
+	j := rapid.IntRange(0, nodes).Draw(sim.t, "other")
 	actions := 9
-	if w.restarts {
+	if sim.restarts {
 		actions = 10
 	}
-	switch rapid.IntRange(0, actions).Draw(w.t, "action") {
+	switch rapid.IntRange(0, actions).Draw(sim.t, "action") {
 	case 10:
-		w.restart(i)
+		sim.restart(i)
 	case 0:
-		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "ms")) * time.Millisecond)
+		sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(sim.t, "ms")) * time.Millisecond)
 	case 1:
-		cut := !w.cut[i][j]
-		w.cut[i][j], w.cut[j][i] = cut, cut
+		cut := !sim.cut[i][j]
+		sim.cut[i][j], sim.cut[j][i] = cut, cut
 	case 2:
-		w.down = !w.down
+		sim.down = !sim.down
 	case 3:
-		if !w.down && w.pending == 0 {
-			w.store++
-			w.pending = w.store
+		if !sim.down && sim.pending == 0 {
+			sim.store++
+			sim.pending = sim.store
 		}
 	case 4, 5:
-		w.accept()
+		sim.accept()
 	case 6:
-		w.ask(i, j)
+		sim.ask(i, j)
 	default:
-		w.ask(i, j)
-		w.answer()
+		sim.ask(i, j)
+		sim.answer()
 	}
 }
 
-// restart ends a node's process and starts it again: it has forgotten everything, and its calls are lost.
-func (w *world) restart(i int) {
-	w.nodes[i] = freshness.New(members[i], lasts)
-	w.calls = slices.DeleteFunc(w.calls, func(c call) bool { return c.from == i })
+// restart restarts a node's process: the node has lost its state, and its calls are lost.
+func (sim *simulation) restart(i int) {
+	sim.nodes[i] = freshness.New(members[i], validity)
+	sim.calls = slices.DeleteFunc(sim.calls, func(c call) bool { return c.from == i })
 }
 
-// ask begins a call whose answer tells what the other side knows now.
-func (w *world) ask(i, j int) {
-	if i == j || w.cut[i][j] || (j == nodes && w.down) {
+// ask starts a call whose answer carries what the other side knows now.
+func (sim *simulation) ask(i, j int) {
+	if i == j || sim.cut[i][j] || (j == nodes && sim.down) {
 		return
 	}
-	c := call{from: i, to: j, began: w.now, revision: w.store}
+	c := call{from: i, to: j, began: sim.now, revision: sim.store}
 	if j < nodes {
-		c.revision = w.nodes[j].Confirms()
-		if w.mutant.forgetful {
-			c.revision = w.nodes[j].Revision()
+		c.revision = sim.nodes[j].ConfirmableRevision()
+		if sim.mutation.unconfirmedAnswer {
+			c.revision = sim.nodes[j].Revision()
 		}
 	}
-	w.calls = append(w.calls, c)
+	sim.calls = append(sim.calls, c)
 }
 
-// answer brings one answer, however late, to its node.
-func (w *world) answer() {
-	if len(w.calls) == 0 {
+// answer delivers one answer, however late, to its node.
+func (sim *simulation) answer() {
+	if len(sim.calls) == 0 {
 		return
 	}
-	k := rapid.IntRange(0, len(w.calls)-1).Draw(w.t, "call")
-	c := w.calls[k]
-	w.calls = slices.Delete(w.calls, k, k+1)
-	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 500).Draw(w.t, "delay")) * time.Millisecond)
+	k := rapid.IntRange(0, len(sim.calls)-1).Draw(sim.t, "call")
+	c := sim.calls[k]
+	sim.calls = slices.Delete(sim.calls, k, k+1)
+	sim.now = sim.now.Add(time.Duration(rapid.IntRange(0, 500).Draw(sim.t, "delay")) * time.Millisecond)
 	began := c.began
-	if w.mutant.atReply {
-		began = w.now
+	if sim.mutation.fromReply {
+		began = sim.now
 	}
-	node := w.nodes[c.from]
-	apply := rapid.Bool().Draw(w.t, "apply")
+	node := sim.nodes[c.from]
+	apply := rapid.Bool().Draw(sim.t, "apply")
 	if apply {
 		node.Apply(c.revision, members)
 	}
 	revision := c.revision
-	if (w.mutant.stale && c.to < nodes) || (w.mutant.staleRead && c.to == nodes) {
+	if (sim.mutation.newerAnswer && c.to < nodes) || (sim.mutation.newerRead && c.to == nodes) {
 		revision = min(revision, node.Revision())
 	}
 	if c.to == nodes {
-		node.ReadStore(began, revision)
+		node.RecordStoreRead(began, revision)
 		return
 	}
-	node.HeardPeer(began, members[c.to], revision)
-	for k := range max(w.mutant.majority-1, 0) {
-		node.HeardPeer(began, members[(c.to+k+1)%nodes], revision)
+	node.RecordPeerAnswer(began, members[c.to], revision)
+	for k := range max(sim.mutation.majority-1, 0) {
+		node.RecordPeerAnswer(began, members[(c.to+k+1)%nodes], revision)
 	}
 }
 
-// accept tells the pending change as accepted once a majority has it.
-func (w *world) accept() {
-	if w.pending == 0 {
+// accept accepts the pending change once a majority has it.
+func (sim *simulation) accept() {
+	if sim.pending == 0 {
 		return
 	}
-	have := map[vaneyoke.VMID]vaneyoke.Revision{}
-	for i, n := range w.nodes {
-		have[members[i]] = n.Revision()
+	applied := map[vaneyoke.VMID]vaneyoke.Revision{}
+	for i, n := range sim.nodes {
+		applied[members[i]] = n.Revision()
 	}
-	if w.mutant.eager || freshness.Accepted(members, have, w.pending) {
-		w.accepted[w.pending] = w.now
-		w.pending = 0
+	if sim.mutation.acceptEarly || freshness.Accepted(members, applied, sim.pending) {
+		sim.accepted[sim.pending] = sim.now
+		sim.pending = 0
 	}
 }
 
-// check looks for a fresh node that lacks a change accepted longer ago than a confirmation lasts.
-func (w *world) check() error {
-	for i, n := range w.nodes {
-		if !n.Fresh(w.now) {
+// check looks for a fresh node that lacks a change accepted longer ago than a confirmation is valid.
+func (sim *simulation) check() error {
+	for i, n := range sim.nodes {
+		if !n.Fresh(sim.now) {
 			continue
 		}
-		for revision, at := range w.accepted {
-			if n.Revision() < revision && w.now.Sub(at) >= lasts {
-				return fmt.Errorf("%s takes work with revision %d although %d was accepted %s ago", members[i], n.Revision(), revision, w.now.Sub(at))
+		for revision, at := range sim.accepted {
+			if n.Revision() < revision && sim.now.Sub(at) >= validity {
+				return fmt.Errorf("%s takes work with revision %d although %d was accepted %s ago", members[i], n.Revision(), revision, sim.now.Sub(at))
 			}
 		}
 	}
@@ -215,64 +215,64 @@
 
 func TestFreshNodesKnowWhatWasAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := newWorld(t, mutation{}).run(); err != nil {
+		if err := newSimulation(t, mutation{}).run(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-func TestBrokenFreshnessRulesAreCaught(t *testing.T) {
-	const stories = 150_000
-	mutants := map[string]mutation{
+func TestFreshnessMutationsAreCaught(t *testing.T) {
+	const runs = 150_000
+	mutations := map[string]mutation{
 		"a minority counts":                 {majority: 3},
-		"confirmed from the reply on":       {atReply: true},
-		"accepted without a majority":       {eager: true},
-		"a newer answer counts":             {stale: true},
-		"a node that has forgotten counts":  {forgetful: true},
-		"a read of a newer revision counts": {staleRead: true},
+		"confirmed from the reply":          {fromReply: true},
+		"accepted without a majority":       {acceptEarly: true},
+		"a newer answer counts":             {newerAnswer: true},
+		"a restarted node counts":           {unconfirmedAnswer: true},
+		"a read of a newer revision counts": {newerRead: true},
 	}
-	for name, rule := range mutants {
+	for name, rule := range mutations {
 		t.Run(name, func(t *testing.T) {
-			must.True(t, mutant.Caught(stories, func(t *rapid.T) bool { return newWorld(t, rule).run() != nil }))
+			must.True(t, mutant.Caught(runs, func(t *rapid.T) bool { return newSimulation(t, rule).run() != nil }))
 		})
 	}
 }
 
-// TestNodeThatHasForgottenDoesNotCount has a change accepted by a majority of which a node then starts again, which knows nothing or has an older
-// configuration from another node: it confirms nobody, itself among them, until the store or a majority of the others has
+// TestRestartedNodeDoesNotCount restarts a node of the majority that accepted a change; the node then knows nothing, or has an
+// older configuration from another node. It confirms no node, itself included, until the store or a majority of the others has
 // confirmed it.
-func TestNodeThatHasForgottenDoesNotCount(t *testing.T) {
+func TestRestartedNodeDoesNotCount(t *testing.T) {
 	now := time.Unix(100, 0)
-	again := freshness.New("c", lasts)
-	must.EqOp(t, 0, again.Confirms())
-	again.Apply(7, members) // from a node that the change never reached
-	must.EqOp(t, 0, again.Confirms())
-	old := freshness.New("a", lasts)
-	old.Apply(7, members)
-	old.ReadStore(now.Add(-time.Hour), 7)
-	old.HeardPeer(now, "b", 7)
-	old.HeardPeer(now, "c", again.Confirms())
-	must.False(t, old.Fresh(now))
+	restarted := freshness.New("c", validity)
+	must.EqOp(t, 0, restarted.ConfirmableRevision())
+	restarted.Apply(7, members) // from a node that the change never reached
+	must.EqOp(t, 0, restarted.ConfirmableRevision())
+	other := freshness.New("a", validity)
+	other.Apply(7, members)
+	other.RecordStoreRead(now.Add(-time.Hour), 7)
+	other.RecordPeerAnswer(now, "b", 7)
+	other.RecordPeerAnswer(now, "c", restarted.ConfirmableRevision())
+	must.False(t, other.Fresh(now))
 
-	again.HeardPeer(now, "a", 7)
-	again.HeardPeer(now, "b", 7) // with itself they would be a majority
-	must.False(t, again.Fresh(now))
-	must.EqOp(t, 0, again.Confirms())
-	again.HeardPeer(now, "d", 7)
-	must.True(t, again.Fresh(now))
-	must.EqOp(t, 7, again.Confirms())
+	restarted.RecordPeerAnswer(now, "a", 7)
+	restarted.RecordPeerAnswer(now, "b", 7) // together with itself they would be a majority
+	must.False(t, restarted.Fresh(now))
+	must.EqOp(t, 0, restarted.ConfirmableRevision())
+	restarted.RecordPeerAnswer(now, "d", 7)
+	must.True(t, restarted.Fresh(now))
+	must.EqOp(t, 7, restarted.ConfirmableRevision())
 
-	read := freshness.New("c", lasts)
-	read.Apply(8, members)
-	read.ReadStore(now, 8)
-	must.EqOp(t, 8, read.Confirms())
+	storeConfirmed := freshness.New("c", validity)
+	storeConfirmed.Apply(8, members)
+	storeConfirmed.RecordStoreRead(now, 8)
+	must.EqOp(t, 8, storeConfirmed.ConfirmableRevision())
 }
 
-func TestFleetGoesOnWhileTheStoreIsDown(t *testing.T) {
+func TestFreshnessWhileStoreIsDown(t *testing.T) {
 	now := time.Unix(100, 0)
 	cases := map[string]struct {
-		heard []vaneyoke.VMID
-		fresh bool
+		answered []vaneyoke.VMID
+		fresh    bool
 	}{
 		"majority":        {[]vaneyoke.VMID{"b", "c"}, true},
 		"minority":        {[]vaneyoke.VMID{"b"}, false},
@@ -282,14 +282,14 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := freshness.New("a", lasts)
+			s := freshness.New("a", validity)
 			s.Apply(7, members)
-			s.ReadStore(now.Add(-time.Hour), 7)
-			for _, vm := range tc.heard {
-				s.HeardPeer(now, vm, 7)
+			s.RecordStoreRead(now.Add(-time.Hour), 7)
+			for _, vm := range tc.answered {
+				s.RecordPeerAnswer(now, vm, 7)
 			}
 			must.EqOp(t, tc.fresh, s.Fresh(now.Add(time.Second)))
-			must.False(t, s.Fresh(now.Add(lasts)))
+			must.False(t, s.Fresh(now.Add(validity)))
 		})
 	}
 }
--- a/shell/catalog/follower.go
+++ b/shell/catalog/follower.go
@@ -73,7 +73,7 @@
 func (f *Follower) confirms() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fresh.Confirms() > 0
+	return f.fresh.ConfirmableRevision() > 0
 }
 
 // Nudge has the store read at once, because a newer revision is said to exist.
@@ -130,7 +130,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fresh.ReadStore(began, revision)
+	f.fresh.RecordStoreRead(began, revision)
 	return nil
 }
 
@@ -184,7 +184,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fresh.HeardPeer(began, vm, revision)
+	f.fresh.RecordPeerAnswer(began, vm, revision)
 }
 
 func (f *Follower) takeFromPeer(vm vaneyoke.VMID, raw []byte) {
