--- a/cmd/vaneyoke/fleet.go
+++ b/cmd/vaneyoke/fleet.go
@@ -30,13 +30,13 @@
 
 // nodeBelief is what one node told of itself.
 type nodeBelief struct {
-	VM      vaneyoke.VMID     `json:"vm"`
-	Version vaneyoke.Revision `json:"version"`
-	Build   string            `json:"build"`  // "" where its build does not tell
-	Speaks  feed.Dialect      `json:"speaks"` // what its build understands
-	Part    mesh.Part         `json:"part"`
-	Leases  leaseViews        `json:"leases,omitempty"`
-	Silent  bool              `json:"silent,omitempty"` // whether it did not answer
+	VM      vaneyoke.VMID        `json:"vm"`
+	Version vaneyoke.Revision    `json:"version"`
+	Build   string               `json:"build"`  // "" where its build does not tell
+	Speaks  feed.ProtocolVersion `json:"speaks"` // what its build understands
+	Part    mesh.Part            `json:"part"`
+	Leases  leaseViews           `json:"leases,omitempty"`
+	Silent  bool                 `json:"silent,omitempty"` // whether it did not answer
 }
 
 // leaseViews are what a node knows of the leases of duties.
@@ -99,7 +99,7 @@
 	var vars struct {
 		Version vaneyoke.Revision `json:"configuration_version"`
 		Build   string
-		Speaks  feed.Dialect
+		Speaks  feed.ProtocolVersion
 		Mesh    struct {
 			Part mesh.Part `json:"part"`
 		} `json:"mesh"`
@@ -176,7 +176,7 @@
 func printBuilds(w io.Writer, told []nodeBelief) {
 	type build struct {
 		name   string
-		speaks feed.Dialect
+		speaks feed.ProtocolVersion
 	}
 	groups := lo.GroupBy(told, func(n nodeBelief) build { return build{cmp.Or(n.Build, "an earlier one"), n.Speaks} })
 	builds := lo.Keys(groups)
--- a/decide/feed/decide.go
+++ b/decide/feed/decide.go
@@ -6,75 +6,75 @@
 	"github.com/samber/lo"
 )
 
-// chooseSource follows the next of the choices where nobody is followed, and asks the first one where another is.
+// chooseSource follows the next candidate if there is no source, and queries the preferred source if another one is followed.
 func (s *State) chooseSource(now time.Time) {
 	if s.tree == nil {
 		return
 	}
 	if s.isRoot() && s.source != nil && s.reader == s.self.VM && s.Fresh(now) {
-		s.source, s.homeAt = nil, time.Time{}
-		s.emit(Leave{})
+		s.source, s.failbackAt = nil, time.Time{}
+		s.emit(Unfollow{})
 	}
 	if s.source == nil {
-		s.tryNext(now)
+		s.tryNextCandidate(now)
 		return
 	}
-	if !s.homeAt.IsZero() && !now.Before(s.homeAt) && len(s.choices) > 0 {
-		s.homeAt = now.Add(s.vary(s.config.Return))
-		s.emit(Ask{s.choices[0]})
+	if !s.failbackAt.IsZero() && !now.Before(s.failbackAt) && len(s.candidates) > 0 {
+		s.failbackAt = now.Add(s.jitter(s.config.FailbackInterval))
+		s.emit(QueryStatus{s.candidates[0]})
 	}
 }
 
-// tryNext follows the next of the choices; after the last one it waits.
-func (s *State) tryNext(now time.Time) {
+// tryNextCandidate follows the next candidate; after the last one it waits.
+func (s *State) tryNextCandidate(now time.Time) {
 	if now.Before(s.retryAt) {
 		return
 	}
-	if s.choice >= len(s.choices) {
-		s.choice = 0
-		s.retryAt = now.Add(s.vary(s.config.Retry))
+	if s.nextCandidate >= len(s.candidates) {
+		s.nextCandidate = 0
+		s.retryAt = now.Add(s.jitter(s.config.RetryInterval))
 		return
 	}
-	s.choice++
-	s.follow(now, s.choices[s.choice-1])
+	s.nextCandidate++
+	s.follow(now, s.candidates[s.nextCandidate-1])
 }
 
 func (s *State) follow(now time.Time, m Member) {
 	s.source = &source{member: m, since: now}
-	s.retryAt, s.homeAt = time.Time{}, time.Time{}
-	if !s.isFirstChoice(m) {
-		s.homeAt = now.Add(s.vary(s.homePause()))
+	s.retryAt, s.failbackAt = time.Time{}, time.Time{}
+	if !s.isPreferred(m) {
+		s.failbackAt = now.Add(s.jitter(s.failbackPause()))
 	}
 	s.emit(Follow{m})
 }
 
-// seek looks for fresh tables, at growing pauses: it asks a node at random, or tries the store.
-func (s *State) seek(now time.Time) {
-	if s.oldSince.IsZero() || s.tryAt.IsZero() || now.Before(s.tryAt) || s.tree == nil {
+// search looks for fresh tables, with exponential backoff: it queries a random member or probes the store.
+func (s *State) search(now time.Time) {
+	if s.staleSince.IsZero() || s.searchAt.IsZero() || now.Before(s.searchAt) || s.tree == nil {
 		return
 	}
-	s.tries++
-	s.tryAt = now.Add(s.vary(s.pause()))
-	if !s.readsWhenOld() && s.rng.Float64()*float64(s.tree.size(s.self.DataCentre)) < s.config.Scouts {
-		s.scouting = true
+	s.searches++
+	s.searchAt = now.Add(s.jitter(s.searchInterval()))
+	if !s.isStandby() && s.rng.Float64()*float64(s.tree.size(s.self.DataCentre)) < s.config.Probes {
+		s.probing = true
 		return
 	}
-	if m, ok := s.anyOther(); ok {
-		s.emit(Ask{m})
+	if m, ok := s.randomMember(); ok {
+		s.emit(QueryStatus{m})
 	}
 }
 
-// pause returns the time to the next try.
-func (s *State) pause() time.Duration {
-	const mostDoublings = 8
-	return min(s.config.Lead<<min(s.tries, mostDoublings), s.config.Longest)
+// searchInterval returns the time to the next search.
+func (s *State) searchInterval() time.Duration {
+	const maxDoublings = 8
+	return min(s.config.StaleGrace<<min(s.searches, maxDoublings), s.config.MaxSearchInterval)
 }
 
-// anyOther returns a member at random other than the node and the one that it follows.
-func (s *State) anyOther() (m Member, ok bool) {
-	const draws = 4
-	for range min(draws, s.tree.Count()) {
-		m = s.tree.any(s.rng.IntN(s.tree.Count()))
+// randomMember returns a random member other than this node and its source.
+func (s *State) randomMember() (m Member, ok bool) {
+	const maxDraws = 4
+	for range min(maxDraws, s.tree.Count()) {
+		m = s.tree.memberAt(s.rng.IntN(s.tree.Count()))
 		if m.VM != s.self.VM && (s.source == nil || m.VM != s.source.member.VM) {
 			return m, true
 		}
@@ -82,111 +82,113 @@
 	return Member{}, false
 }
 
-// isRoot reports whether the node comes before all others.
-func (s *State) isRoot() bool { return s.tree != nil && len(s.choices) == 0 }
+// isRoot reports whether the node ranks before all others.
+func (s *State) isRoot() bool { return s.tree != nil && len(s.candidates) == 0 }
 
-// readsWhenOld reports whether it is the node's place to read the store while its tables are old.
-func (s *State) readsWhenOld() bool {
-	return s.tree != nil && s.tree.place(s.self) < s.config.Standby
+// isStandby reports whether the node ranks high enough in its data centre to read the store while its tables are stale.
+func (s *State) isStandby() bool {
+	return s.tree != nil && s.tree.position(s.self) < s.config.Standbys
 }
 
-// relies reports whether the node has its tables from another one that can be relied on.
-func (s *State) relies() bool { return s.hasWord() && s.source.fresh }
+// hasFreshSource reports whether the source has responded and its tables are fresh.
+func (s *State) hasFreshSource() bool { return s.sourceResponded() && s.source.fresh }
 
-// chooseReading reads the store in the way that the present state asks for.
-func (s *State) chooseReading(now time.Time) {
-	reading := s.wanted(now)
-	if reading == ReadNothing || reading == ReadMembers {
-		s.scouting, s.scouted = false, false
+// updateReadMode changes how the store is read if the present state requires another mode.
+func (s *State) updateReadMode(now time.Time) {
+	mode := s.desiredReadMode(now)
+	if mode == ReadNothing || mode == ReadMembers {
+		s.probing, s.probeSucceeded = false, false
 	}
-	if reading != s.reading {
-		s.reading = reading
-		s.emit(Read{reading})
+	if mode != s.readMode {
+		s.readMode = mode
+		s.emit(SetReadMode{mode})
 	}
 }
 
-func (s *State) wanted(now time.Time) Reading {
+func (s *State) desiredReadMode(now time.Time) ReadMode {
 	switch {
-	case s.tree == nil && now.Before(s.started.Add(s.config.First)):
+	case s.tree == nil && now.Before(s.started.Add(s.config.MemberWait)):
 		return ReadMembers
-	case s.tree == nil: // the list of members may be all that fails
+	case s.tree == nil: // possibly only the list of members fails
 		return ReadAll
-	case s.relies() && (s.source.member.Outranks(s.self) || !s.readsWhenOld()):
+	case s.hasFreshSource() && (s.source.member.Outranks(s.self) || !s.isStandby()):
 		return ReadNothing
-	case s.readsAll(now):
+	case s.mustReadAll(now):
 		return ReadAll
-	case s.scouting && s.scouted:
+	case s.probing && s.probeSucceeded:
 		return ReadAll
-	case s.scouting:
+	case s.probing:
 		return ReadOnce
-	case s.isNew && !s.held:
+	case s.unregistered && !s.complete:
 		return ReadMembers
 	default:
 		return ReadNothing
 	}
 }
 
-// readsAll reports whether the node reads the store until it finds another one to rely on.
-func (s *State) readsAll(now time.Time) bool {
-	if s.isNew && !s.held && now.Before(s.started.Add(s.config.First)) {
+// mustReadAll reports whether the node reads the store until it finds a fresh source.
+func (s *State) mustReadAll(now time.Time) bool {
+	if s.unregistered && !s.complete && now.Before(s.started.Add(s.config.MemberWait)) {
 		return false
 	}
-	if s.isRoot() || s.alone() {
+	if s.isRoot() || s.candidatesExhausted() {
 		return true
 	}
-	if s.reading == ReadAll && (s.readsWhenOld() || !s.hasWord() || s.reader == s.self.VM && s.Fresh(now)) {
+	if s.readMode == ReadAll && (s.isStandby() || !s.sourceResponded() || s.reader == s.self.VM && s.Fresh(now)) {
 		return true
 	}
-	return s.readsWhenOld() && !s.oldSince.IsZero() && !now.Before(s.leadEnds())
+	return s.isStandby() && !s.staleSince.IsZero() && !now.Before(s.graceEnd())
 }
 
-// hasWord reports whether the node that is followed has spoken.
-func (s *State) hasWord() bool { return s.source != nil && s.source.spoken }
+// sourceResponded reports whether the source has sent its status.
+func (s *State) sourceResponded() bool { return s.source != nil && s.source.responded }
 
-// alone reports whether no node that the node knows of can be followed.
-func (s *State) alone() bool { return s.source == nil && s.choice == 0 && !s.retryAt.IsZero() }
+// candidatesExhausted reports whether none of the known candidates can be followed.
+func (s *State) candidatesExhausted() bool {
+	return s.source == nil && s.nextCandidate == 0 && !s.retryAt.IsZero()
+}
 
-// leadEnds returns when the tables will have been old for the lead; the zero time where they are fresh.
-func (s *State) leadEnds() time.Time {
-	if s.oldSince.IsZero() {
+// graceEnd returns when stale tables have been stale for StaleGrace; the zero time if they are fresh.
+func (s *State) graceEnd() time.Time {
+	if s.staleSince.IsZero() {
 		return time.Time{}
 	}
-	return s.oldSince.Add(s.config.Lead)
+	return s.staleSince.Add(s.config.StaleGrace)
 }
 
-// offer offers the tables to those that may lack them: to nodes below that do not follow, and, where the tables are old or the
-// node reads the store in place of those above, to nodes above.
-func (s *State) offer(now time.Time) {
-	if !s.held || s.tree == nil || now.Before(s.offerAt) {
+// sendOffers offers the tables to nodes that may lack them: to nodes below in the tree that do not follow this one and, if the
+// tables are stale or the node reads the store in place of those above, to nodes above.
+func (s *State) sendOffers(now time.Time) {
+	if !s.complete || s.tree == nil || now.Before(s.offerAt) {
 		return
 	}
-	to := s.lacking()
+	to := s.missingFollowers()
 	if !s.Fresh(now) || s.reader == s.self.VM && !s.isRoot() {
-		to = append(to, s.choices...)
-		if s.tree.place(s.self) == 0 || s.reader == s.self.VM {
-			to = append(to, s.tree.Heads()...)
+		to = append(to, s.candidates...)
+		if s.tree.position(s.self) == 0 || s.reader == s.self.VM {
+			to = append(to, s.tree.Roots()...)
 		}
 	}
 	to = lo.UniqBy(to, func(m Member) string { return m.Address })
 	to = lo.Reject(to, func(m Member, _ int) bool { return m.VM == s.self.VM || m.Address == "" })
-	s.offerAt = now.Add(s.vary(s.config.Offer))
+	s.offerAt = now.Add(s.jitter(s.config.OfferInterval))
 	if len(to) == 0 {
 		return
 	}
-	if len(to) > s.config.MostSent {
+	if len(to) > s.config.MaxOffers {
 		s.rng.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-		to = to[:s.config.MostSent]
+		to = to[:s.config.MaxOffers]
 	}
-	s.emit(Offer{to})
+	s.emit(SendOffers{to})
 }
 
-// lacking returns the nodes right below that do not follow this one, and those below these.
-func (s *State) lacking() []Member {
+// missingFollowers returns the children in the tree that do not follow this node, and the children of these that do not either.
+func (s *State) missingFollowers() []Member {
 	follows := func(m Member, _ int) bool { return s.followers[m.VM] > 0 }
-	below := lo.Reject(s.tree.Below(s.self), follows)
-	lacking := below
-	for _, m := range below {
-		lacking = append(lacking, lo.Reject(s.tree.Below(m), follows)...)
+	children := lo.Reject(s.tree.Children(s.self), follows)
+	missing := children
+	for _, m := range children {
+		missing = append(missing, lo.Reject(s.tree.Children(m), follows)...)
 	}
-	return lacking
+	return missing
 }
--- a/decide/feed/doc.go
+++ b/decide/feed/doc.go
@@ -1,2 +1,3 @@
-// Package feed decides from whom a node takes the store's tables, when it reads the store itself, and to whom it offers them.
+// Package feed decides, without I/O, which node this one takes the store's tables from, when it reads the store itself, and
+// which nodes it offers its tables to.
 package feed
--- a/decide/feed/event.go
+++ b/decide/feed/event.go
@@ -7,104 +7,104 @@
 	"github.com/vaneyoke/vaneyoke/internal/names"
 )
 
-// Word is what a node says of its tables.
-type Word struct {
-	Age    time.Duration // how long ago the store confirmed them
-	Known  bool          // whether it holds all tables
-	Reader vaneyoke.VMID // the node that the store told so
+// TableStatus is what a node reports about its tables.
+type TableStatus struct {
+	Age      time.Duration // time since the store confirmed them
+	Complete bool          // whether the node holds all tables
+	Reader   vaneyoke.VMID // the node whose read of the store confirmed them
 }
 
-// Event is something that a node learns.
+// Event is an input of State.Handle.
 type Event interface{ event() }
 
-// Started says that the node has started; it is the first event.
+// Started reports that the node has started; it is the first event.
 type Started struct{}
 
-// Members tells the members of the fleet as they are registered.
-type Members struct{ All []Member }
+// MembersUpdated carries the registered members of the fleet.
+type MembersUpdated struct{ Members []Member }
 
-// Told says that the node that is followed has spoken, and that its tables were taken in.
-type Told struct {
-	From vaneyoke.VMID
-	Word Word
+// StatusReceived reports that the source has sent its status, and that its tables were applied.
+type StatusReceived struct {
+	From   vaneyoke.VMID
+	Status TableStatus
 }
 
-// Lost says that a node cannot be followed, or not any more.
-type Lost struct{ From vaneyoke.VMID }
+// SourceLost reports that a node cannot be followed, or that the stream from it ended.
+type SourceLost struct{ From vaneyoke.VMID }
 
-// Answered is a node's answer to Ask.
-type Answered struct {
-	From Member
-	Word Word
+// QueryAnswered carries a node's answer to QueryStatus.
+type QueryAnswered struct {
+	From   Member
+	Status TableStatus
 }
 
-// Offered says that another node offers its tables.
-type Offered struct {
-	From Member
-	Word Word
+// OfferReceived reports that another node offers its tables.
+type OfferReceived struct {
+	From   Member
+	Status TableStatus
 }
 
-// StoreRead says that the store has answered this node's own call; Word says what the node's tables are then.
-type StoreRead struct{ Word Word }
+// StoreRead reports that a store call of this node succeeded; Status describes the node's tables after it.
+type StoreRead struct{ Status TableStatus }
 
-// StoreFailed says that a call to the store failed.
+// StoreFailed reports that a store call of this node failed.
 type StoreFailed struct{}
 
-// Followed says that another node began to follow this one.
-type Followed struct{ By vaneyoke.VMID }
+// FollowerAdded reports that another node began to follow this one.
+type FollowerAdded struct{ VM vaneyoke.VMID }
 
-// Unfollowed says that another node ended to follow this one.
-type Unfollowed struct{ By vaneyoke.VMID }
+// FollowerRemoved reports that another node stopped following this one.
+type FollowerRemoved struct{ VM vaneyoke.VMID }
 
-// Tick says that the time has come that State.Next told.
+// Tick reports that the time returned by State.NextTick has come.
 type Tick struct{}
 
-func (Started) event()     {}
-func (Members) event()     {}
-func (Told) event()        {}
-func (Lost) event()        {}
-func (Answered) event()    {}
-func (Offered) event()     {}
-func (StoreRead) event()   {}
-func (StoreFailed) event() {}
-func (Followed) event()    {}
-func (Unfollowed) event()  {}
-func (Tick) event()        {}
-
-// Effect is something that the node has to do.
+func (Started) event()         {}
+func (MembersUpdated) event()  {}
+func (StatusReceived) event()  {}
+func (SourceLost) event()      {}
+func (QueryAnswered) event()   {}
+func (OfferReceived) event()   {}
+func (StoreRead) event()       {}
+func (StoreFailed) event()     {}
+func (FollowerAdded) event()   {}
+func (FollowerRemoved) event() {}
+func (Tick) event()            {}
+
+// Effect is an action that the node has to take.
 type Effect interface{ effect() }
 
-// Follow has the node take the tables from another one, and from no one else.
+// Follow makes the node take its tables from Member, and from no other node.
 type Follow struct{ Member Member }
 
-// Leave has the node follow nobody.
-type Leave struct{}
+// Unfollow makes the node follow no other node.
+type Unfollow struct{}
 
-// Read has the node read the store in another way than so far.
-type Read struct{ Reading Reading }
+// SetReadMode changes how the node reads the store.
+type SetReadMode struct{ Mode ReadMode }
 
-// Ask has the node ask another one what its tables are; without an answer nothing follows.
-type Ask struct{ Member Member }
+// QueryStatus asks another node for the status of its tables. Without an answer no event follows.
+type QueryStatus struct{ Member Member }
 
-// Offer has the node offer its tables to others, who need not answer.
-type Offer struct{ To []Member }
+// SendOffers offers the node's tables to other nodes, which need not answer.
+type SendOffers struct{ To []Member }
 
-func (Follow) effect() {}
-func (Leave) effect()  {}
-func (Read) effect()   {}
-func (Ask) effect()    {}
-func (Offer) effect()  {}
+func (Follow) effect()      {}
+func (Unfollow) effect()    {}
+func (SetReadMode) effect() {}
+func (QueryStatus) effect() {}
+func (SendOffers) effect()  {}
 
-// Reading is how a node reads the store.
-type Reading int
+// ReadMode is how a node reads the store.
+type ReadMode int
 
-// The ways of reading the store.
+// The read modes.
 const (
-	ReadNothing Reading = iota
-	ReadMembers         // the list of members alone, by a node that does not know whom to ask
-	ReadOnce            // one call, to find out whether the store answers; all tables where it does
-	ReadAll             // all tables, for good
+	ReadNothing ReadMode = iota
+	ReadMembers          // only the list of members, by a node that knows no other node to ask
+	ReadOnce             // one call to probe whether the store answers; it reads all tables if it does
+	ReadAll              // all tables, continuously
 )
 
-// String names the way of reading.
-func (r Reading) String() string { return names.Of(r, "nothing", "members", "once", "all") }
+// String returns the name of the mode.
+func (r ReadMode) String() string { return names.Of(r, "nothing", "members", "once", "all") }
--- a/decide/feed/member.go
+++ b/decide/feed/member.go
@@ -11,31 +11,32 @@
 type Member struct {
 	VM         vaneyoke.VMID         `json:"vm"`
 	DataCentre vaneyoke.DataCentreID `json:"data_centre"`
-	Address    string                `json:"address"`             // IP number and port at which it tells the tables
-	Bandwidth  float64               `json:"bandwidth,omitempty"` // of its VM's link in Mbit/s; 0 where it is not known
-	Speaks     Dialect               `json:"speaks,omitempty"`
+	Address    string                `json:"address"`             // IP address and port at which it serves its tables
+	Bandwidth  float64               `json:"bandwidth,omitempty"` // of its VM's link in Mbit/s; 0 if unknown
+	Protocol   ProtocolVersion       `json:"speaks,omitempty"`
 }
 
-// Dialect tells what a node's build understands of what nodes say to one another; a later one understands all that earlier ones do.
-type Dialect int
+// ProtocolVersion tells which messages between nodes a build understands. Each version includes all earlier ones.
+type ProtocolVersion int
 
-// The dialects. What came after the first is sent only to members that tell it, since builds of the first may not bear it.
+// The protocol versions. Messages that came after the first version are sent only to members that report a version which
+// includes them, because builds of the first version may crash on them.
 const (
-	DialectFirst  Dialect = iota // of all builds that do not tell
-	DialectLimits                // sightings of what requests did, and messages of limits, which such a build keeps with the others
+	ProtocolInitial ProtocolVersion = iota // of builds that report no version
+	ProtocolLimits                         // adds sightings of crashed and survived requests, and messages about rate limits, which such builds enforce together
 )
 
-// DialectOwn is that of this build.
-const DialectOwn = DialectLimits
+// ProtocolCurrent is the version of this build.
+const ProtocolCurrent = ProtocolLimits
 
-// Outranks reports whether a member comes before another in the order of those that read for the rest.
+// Outranks reports whether m ranks before other. Members of higher rank read the store for the others.
 func (m Member) Outranks(other Member) bool { return compareRanks(rankOf(m), rankOf(other)) < 0 }
 
-// ByRank orders members, the one that reads for the rest first: the one with the fastest link, and
-// between equals by their hash, so that every node knows the same order.
+// ByRank compares members by rank: the one with the fastest link comes first, and equal ones are ordered by rendezvous hash, so
+// that every node computes the same order. The first member reads the store for the rest.
 func ByRank(a, b Member) int { return compareRanks(rankOf(a), rankOf(b)) }
 
-// rank is a member's place in the order of those that read for the rest.
+// rank is the sort key of a member.
 type rank struct {
 	bandwidth float64
 	score     uint64
--- a/decide/feed/simulation_test.go
+++ b/decide/feed/simulation_test.go
@@ -11,58 +11,58 @@
 )
 
 const (
-	hop      = time.Millisecond        // one way between two nodes
-	storeHop = 4 * time.Millisecond    // a call to the store
-	beat     = 250 * time.Millisecond  // between two words
-	poll     = 1100 * time.Millisecond // for which a call waits for changes
-	stall    = 800 * time.Millisecond  // after which a silent connection is given up
-	dialWait = 200 * time.Millisecond
-	slack    = 500 * time.Millisecond  // for which a call to a silent store hangs
-	listWait = 1600 * time.Millisecond // for which one for all rows hangs
+	nodeLatency       = time.Millisecond        // one way between two nodes
+	storeLatency      = 4 * time.Millisecond    // of a call to the store
+	heartbeatInterval = 250 * time.Millisecond  // between two status messages
+	pollWait          = 1100 * time.Millisecond // for which a call waits for changes
+	stallTimeout      = 800 * time.Millisecond  // after which a silent connection is closed
+	dialTimeout       = 200 * time.Millisecond
+	callTimeout       = 500 * time.Millisecond  // for which a call to a store that does not answer hangs
+	listTimeout       = 1600 * time.Millisecond // for which a call that lists all rows hangs
 )
 
-// world is a fleet on a clock of its own, whose nodes do what their states ask for.
-type world struct {
-	now       time.Time
-	queue     timers
-	rng       *rand.Rand
-	config    feed.Config
-	nodes     []*node
-	members   []feed.Member
-	byVM      map[vaneyoke.VMID]*node
-	storeDown bool
-	silent    bool // whether calls that fail hang for a while first
-	calls     int  // to the store
-	asks      int
-	offers    int
+// simulation is a fleet on a virtual clock, whose nodes carry out the effects of their states.
+type simulation struct {
+	now        time.Time
+	queue      timers
+	rng        *rand.Rand
+	config     feed.Config
+	nodes      []*node
+	members    []feed.Member
+	byVM       map[vaneyoke.VMID]*node
+	storeDown  bool
+	slowErrors bool // whether failing calls hang for a while first
+	calls      int  // to the store
+	asks       int
+	offers     int
 }
 
-// node is one node of the world.
+// node is a simulated node.
 type node struct {
-	w         *world
-	member    feed.Member
-	state     *feed.State
-	life      int // counts the starts; 0 before the first
-	up        bool
-	dark      bool // without power: it does not even refuse connections
-	cut       bool // from the store
-	reading   feed.Reading
-	read      int // counts the ways of reading
-	failures  int
-	members   bool
-	follows   int // counts the follow effects
-	following *stream
-	streams   map[*stream]bool
-	wake      time.Time
-	heldAt    time.Time
-	busiest   int
+	sim          *simulation
+	member       feed.Member
+	state        *feed.State
+	incarnation  int // counts the starts; 0 before the first
+	up           bool
+	powerOff     bool // without power: it does not even refuse connections
+	cutOff       bool // from the store
+	readMode     feed.ReadMode
+	readEpoch    int // counts the changes of the read mode
+	failures     int
+	knowsMembers bool
+	followEpoch  int // counts the Follow and Unfollow effects
+	following    *stream
+	streams      map[*stream]bool
+	tickAt       time.Time
+	heldAt       time.Time
+	mostStreams  int
 }
 
-// stream is a node's following of another.
+// stream is the connection of a node to its source.
 type stream struct {
-	from, to *node
-	life     [2]int
-	follow   int
+	from, to    *node
+	incarnation [2]int
+	followEpoch int
 }
 
 type timer struct {
@@ -91,40 +91,40 @@
 	return last
 }
 
-// newWorld returns a fleet of nodes in some data centres, none of which has started.
-func newWorld(seed uint64, count, centres int) *world {
-	w := &world{
+// newSimulation returns a fleet of nodes in some data centres, none of which has started.
+func newSimulation(seed uint64, count, centres int) *simulation {
+	sim := &simulation{
 		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 1)), config: feed.DefaultConfig(), byVM: map[vaneyoke.VMID]*node{},
 	}
 	for i := range count {
 		m := feed.Member{VM: vaneyoke.VMID(fmt.Sprint("vm-", i)), DataCentre: vaneyoke.DataCentreID(fmt.Sprint("dc-", i%centres)), Address: fmt.Sprint("10.0.0.1:", i)}
-		n := &node{w: w, member: m}
-		w.nodes = append(w.nodes, n)
-		w.members = append(w.members, m)
-		w.byVM[m.VM] = n
+		n := &node{sim: sim, member: m}
+		sim.nodes = append(sim.nodes, n)
+		sim.members = append(sim.members, m)
+		sim.byVM[m.VM] = n
 	}
-	return w
+	return sim
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.queue.seq++
-	heap.Push(&w.queue, timer{at: w.now.Add(d), seq: w.queue.seq, do: do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.queue.seq++
+	heap.Push(&sim.queue, timer{at: sim.now.Add(d), seq: sim.queue.seq, do: do})
 }
 
-// run lets time pass.
-func (w *world) run(d time.Duration) {
-	end := w.now.Add(d)
-	for w.queue.Len() > 0 && !w.queue.all[0].at.After(end) {
-		t := heap.Pop(&w.queue).(timer)
-		w.now = t.at
+// run advances the clock.
+func (sim *simulation) run(d time.Duration) {
+	end := sim.now.Add(d)
+	for sim.queue.Len() > 0 && !sim.queue.all[0].at.After(end) {
+		t := heap.Pop(&sim.queue).(timer)
+		sim.now = t.at
 		t.do()
 	}
-	w.now = end
+	sim.now = end
 }
 
-func (w *world) startAll() {
-	for _, n := range w.nodes {
-		w.after(time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), n.start)
+func (sim *simulation) startAll() {
+	for _, n := range sim.nodes {
+		sim.after(time.Duration(sim.rng.Int64N(int64(300*time.Millisecond))), n.start)
 	}
 }
 
@@ -132,30 +132,30 @@
 	if n.up {
 		return
 	}
-	n.life++
-	n.up, n.dark, n.reading, n.members, n.failures = true, false, feed.ReadNothing, false, 0
+	n.incarnation++
+	n.up, n.powerOff, n.readMode, n.knowsMembers, n.failures = true, false, feed.ReadNothing, false, 0
 	n.streams = map[*stream]bool{}
 	n.heldAt = time.Time{}
-	n.state = feed.New(n.member, n.w.config, rand.New(rand.NewPCG(n.w.rng.Uint64(), 2)))
+	n.state = feed.New(n.member, n.sim.config, rand.New(rand.NewPCG(n.sim.rng.Uint64(), 2)))
 	n.handle(feed.Started{})
 }
 
-// stop ends the node's process; a dark one does not tell those that are connected to it.
-func (n *node) stop(dark bool) {
+// stop ends the node's process; if its power is off, connected nodes notice only after a timeout.
+func (n *node) stop(powerOff bool) {
 	if !n.up {
 		return
 	}
-	n.up, n.dark = false, dark
-	n.read++
-	wait := hop
-	if dark {
-		wait = stall
+	n.up, n.powerOff = false, powerOff
+	n.readEpoch++
+	wait := nodeLatency
+	if powerOff {
+		wait = stallTimeout
 	}
 	for s := range n.streams {
-		n.w.after(wait, s.lost)
+		n.sim.after(wait, s.reportLost)
 	}
 	if n.following != nil {
-		n.w.after(wait, n.following.end)
+		n.sim.after(wait, n.following.end)
 	}
 }
 
@@ -163,209 +163,209 @@
 	if !n.up {
 		return
 	}
-	before := n.state.Word(n.w.now)
-	effects := n.state.Handle(n.w.now, e)
-	after := n.state.Word(n.w.now)
-	if after.Known && n.heldAt.IsZero() {
-		n.heldAt = n.w.now
+	before := n.state.Status(n.sim.now)
+	effects := n.state.Handle(n.sim.now, e)
+	after := n.state.Status(n.sim.now)
+	if after.Complete && n.heldAt.IsZero() {
+		n.heldAt = n.sim.now
 	}
 	for _, effect := range effects {
 		n.do(effect)
 	}
-	if after.Known && (!before.Known || before.Age-after.Age > 100*time.Millisecond) {
+	if after.Complete && (!before.Complete || before.Age-after.Age > 100*time.Millisecond) {
 		for s := range n.streams {
-			s.tell()
+			s.sendStatus()
 		}
 	}
-	n.sleep()
+	n.scheduleTick()
 }
 
-// sleep has the node decide anew at the time that its state tells.
-func (n *node) sleep() {
-	life, at := n.life, n.state.Next(n.w.now)
-	n.wake = at
-	n.w.after(at.Sub(n.w.now), func() {
-		if n.life == life && n.wake.Equal(at) {
+// scheduleTick schedules a Tick for the time that the node's state returns.
+func (n *node) scheduleTick() {
+	incarnation, at := n.incarnation, n.state.NextTick(n.sim.now)
+	n.tickAt = at
+	n.sim.after(at.Sub(n.sim.now), func() {
+		if n.incarnation == incarnation && n.tickAt.Equal(at) {
 			n.handle(feed.Tick{})
 		}
 	})
 }
 
 func (n *node) do(effect feed.Effect) {
-	life := n.life
+	incarnation := n.incarnation
 	switch e := effect.(type) {
 	case feed.Follow:
-		n.follows++
-		n.connect(e.Member, n.follows)
-	case feed.Leave:
-		n.follows++
-	case feed.Read:
-		n.reading = e.Reading
-		n.read++
-		n.call(n.read, 0)
-	case feed.Ask:
-		n.w.asks++
-		n.w.after(hop, func() {
-			if to := n.w.byVM[e.Member.VM]; to.up {
-				word := to.state.Word(n.w.now)
-				n.w.after(hop, func() {
-					if n.life == life {
-						n.handle(feed.Answered{From: to.member, Word: word})
+		n.followEpoch++
+		n.connect(e.Member, n.followEpoch)
+	case feed.Unfollow:
+		n.followEpoch++
+	case feed.SetReadMode:
+		n.readMode = e.Mode
+		n.readEpoch++
+		n.callStore(n.readEpoch, 0)
+	case feed.QueryStatus:
+		n.sim.asks++
+		n.sim.after(nodeLatency, func() {
+			if to := n.sim.byVM[e.Member.VM]; to.up {
+				status := to.state.Status(n.sim.now)
+				n.sim.after(nodeLatency, func() {
+					if n.incarnation == incarnation {
+						n.handle(feed.QueryAnswered{From: to.member, Status: status})
 					}
 				})
 			}
 		})
-	case feed.Offer:
-		n.w.offers += len(e.To)
-		word := n.state.Word(n.w.now)
+	case feed.SendOffers:
+		n.sim.offers += len(e.To)
+		status := n.state.Status(n.sim.now)
 		for _, m := range e.To {
-			n.w.after(hop, func() { n.w.byVM[m.VM].handle(feed.Offered{From: n.member, Word: word}) })
+			n.sim.after(nodeLatency, func() { n.sim.byVM[m.VM].handle(feed.OfferReceived{From: n.member, Status: status}) })
 		}
 	}
 }
 
-func (n *node) connect(m feed.Member, follow int) {
-	s := &stream{from: n, to: n.w.byVM[m.VM], follow: follow}
-	s.life = [2]int{n.life, s.to.life}
+func (n *node) connect(m feed.Member, followEpoch int) {
+	s := &stream{from: n, to: n.sim.byVM[m.VM], followEpoch: followEpoch}
+	s.incarnation = [2]int{n.incarnation, s.to.incarnation}
 	n.following = s
 	if !s.to.up {
-		wait := 2 * hop
-		if s.to.dark {
-			wait = dialWait
+		wait := 2 * nodeLatency
+		if s.to.powerOff {
+			wait = dialTimeout
 		}
-		n.w.after(wait, s.lost)
+		n.sim.after(wait, s.reportLost)
 		return
 	}
-	n.w.after(hop, func() {
-		if !s.holds() {
-			s.lost()
+	n.sim.after(nodeLatency, func() {
+		if !s.active() {
+			s.reportLost()
 			return
 		}
 		s.to.streams[s] = true
-		s.to.busiest = max(s.to.busiest, len(s.to.streams))
-		s.to.handle(feed.Followed{By: n.member.VM})
-		s.beat()
+		s.to.mostStreams = max(s.to.mostStreams, len(s.to.streams))
+		s.to.handle(feed.FollowerAdded{VM: n.member.VM})
+		s.heartbeat()
 	})
 }
 
-// holds reports whether the stream is still wanted and both ends are up.
-func (s *stream) holds() bool {
-	return s.from.up && s.to.up && s.from.life == s.life[0] && s.to.life == s.life[1] && s.from.follows == s.follow
+// active reports whether the stream is still wanted and both ends are up.
+func (s *stream) active() bool {
+	return s.from.up && s.to.up && s.from.incarnation == s.incarnation[0] && s.to.incarnation == s.incarnation[1] && s.from.followEpoch == s.followEpoch
 }
 
-func (s *stream) beat() {
-	if !s.holds() {
+func (s *stream) heartbeat() {
+	if !s.active() {
 		s.end()
 		return
 	}
-	s.tell()
-	s.from.w.after(beat, s.beat)
+	s.sendStatus()
+	s.from.sim.after(heartbeatInterval, s.heartbeat)
 }
 
-func (s *stream) tell() {
-	word := s.to.state.Word(s.to.w.now)
-	s.from.w.after(hop, func() {
-		if !s.holds() {
+func (s *stream) sendStatus() {
+	status := s.to.state.Status(s.to.sim.now)
+	s.from.sim.after(nodeLatency, func() {
+		if !s.active() {
 			return
 		}
-		if word.Known {
+		if status.Complete {
 			s.from.learnMembers()
 		}
-		s.from.handle(feed.Told{From: s.to.member.VM, Word: word})
+		s.from.handle(feed.StatusReceived{From: s.to.member.VM, Status: status})
 	})
 }
 
-func (s *stream) lost() {
-	if s.from.up && s.from.life == s.life[0] && s.from.follows == s.follow {
-		s.from.handle(feed.Lost{From: s.to.member.VM})
+func (s *stream) reportLost() {
+	if s.from.up && s.from.incarnation == s.incarnation[0] && s.from.followEpoch == s.followEpoch {
+		s.from.handle(feed.SourceLost{From: s.to.member.VM})
 	}
 }
 
 func (s *stream) end() {
-	if s.to.up && s.to.life == s.life[1] && s.to.streams[s] {
+	if s.to.up && s.to.incarnation == s.incarnation[1] && s.to.streams[s] {
 		delete(s.to.streams, s)
-		s.to.handle(feed.Unfollowed{By: s.from.member.VM})
+		s.to.handle(feed.FollowerRemoved{VM: s.from.member.VM})
 	}
 }
 
 func (n *node) learnMembers() {
-	if !n.members {
-		n.members = true
-		n.handle(feed.Members{All: n.w.members})
+	if !n.knowsMembers {
+		n.knowsMembers = true
+		n.handle(feed.MembersUpdated{Members: n.sim.members})
 	}
 }
 
-// call makes one call to the store, and further ones as long as the way of reading is the same.
-func (n *node) call(read int, wait time.Duration) {
-	life := n.life
-	n.w.after(wait, func() {
-		if n.life != life || n.read != read || !n.up || n.reading == feed.ReadNothing {
+// callStore makes one call to the store, and further ones as long as the read mode stays the same.
+func (n *node) callStore(readEpoch int, wait time.Duration) {
+	incarnation := n.incarnation
+	n.sim.after(wait, func() {
+		if n.incarnation != incarnation || n.readEpoch != readEpoch || !n.up || n.readMode == feed.ReadNothing {
 			return
 		}
-		n.w.calls++
-		n.w.after(storeHop, func() {
-			if n.life != life || n.read != read || !n.up {
+		n.sim.calls++
+		n.sim.after(storeLatency, func() {
+			if n.incarnation != incarnation || n.readEpoch != readEpoch || !n.up {
 				return
 			}
-			if n.w.storeDown || n.cut {
-				n.failed(read)
+			if n.sim.storeDown || n.cutOff {
+				n.callFailed(readEpoch)
 				return
 			}
 			n.failures = 0
 			n.learnMembers()
-			if n.read == read && n.reading != feed.ReadMembers {
-				n.handle(feed.StoreRead{Word: feed.Word{Known: true, Reader: n.member.VM}})
+			if n.readEpoch == readEpoch && n.readMode != feed.ReadMembers {
+				n.handle(feed.StoreRead{Status: feed.TableStatus{Complete: true, Reader: n.member.VM}})
 			}
-			n.call(read, poll)
+			n.callStore(readEpoch, pollWait)
 		})
 	})
 }
 
-// failed ends a call without an answer.
-func (n *node) failed(read int) {
-	life, hang := n.life, time.Duration(0)
-	if n.w.silent && n.members {
-		hang = slack
+// callFailed ends a call without an answer.
+func (n *node) callFailed(readEpoch int) {
+	incarnation, hang := n.incarnation, time.Duration(0)
+	if n.sim.slowErrors && n.knowsMembers {
+		hang = callTimeout
 	}
-	if n.w.silent && !n.members {
-		hang = listWait
+	if n.sim.slowErrors && !n.knowsMembers {
+		hang = listTimeout
 	}
-	n.w.after(hang, func() {
-		if n.life != life || n.read != read || !n.up {
+	n.sim.after(hang, func() {
+		if n.incarnation != incarnation || n.readEpoch != readEpoch || !n.up {
 			return
 		}
 		n.failures++
 		n.handle(feed.StoreFailed{})
-		n.call(read, n.backoff())
+		n.callStore(readEpoch, n.backoff())
 	})
 }
 
 func (n *node) backoff() time.Duration {
 	full := min(100*time.Millisecond<<min(n.failures-1, 8), 800*time.Millisecond)
-	if !n.members {
+	if !n.knowsMembers {
 		full = time.Second
 	}
-	return full/2 + time.Duration(n.w.rng.Int64N(int64(full/2)+1))
+	return full/2 + time.Duration(n.sim.rng.Int64N(int64(full/2)+1))
 }
 
-// untilFresh lets time pass until all nodes that are up, but those that are left out, have tables that are not old.
-func (w *world) untilFresh(most time.Duration, but func(*node) bool) (took time.Duration, ok bool) {
+// untilFresh advances the clock until all nodes that are up, except the excluded ones, have fresh tables.
+func (sim *simulation) untilFresh(limit time.Duration, exclude func(*node) bool) (took time.Duration, ok bool) {
 	const step = 10 * time.Millisecond
-	for began := w.now; w.now.Sub(began) <= most; w.run(step) {
-		old := false
-		for _, n := range w.nodes {
-			old = old || n.up && !but(n) && !n.state.Fresh(w.now)
+	for began := sim.now; sim.now.Sub(began) <= limit; sim.run(step) {
+		stale := false
+		for _, n := range sim.nodes {
+			stale = stale || n.up && !exclude(n) && !n.state.Fresh(sim.now)
 		}
-		if !old {
-			return w.now.Sub(began), true
+		if !stale {
+			return sim.now.Sub(began), true
 		}
 	}
-	return most, false
+	return limit, false
 }
 
-func (w *world) readers() (readers []*node) {
-	for _, n := range w.nodes {
-		if n.up && n.reading == feed.ReadAll {
+func (sim *simulation) readers() (readers []*node) {
+	for _, n := range sim.nodes {
+		if n.up && n.readMode == feed.ReadAll {
 			readers = append(readers, n)
 		}
 	}
--- a/decide/feed/state.go
+++ b/decide/feed/state.go
@@ -9,37 +9,37 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// quick is the life of a source below which its loss counts as if it had never spoken, so that one that comes and goes is
-// not asked without a pause.
-const quick = 100 * time.Millisecond
+// minSourceLife is how long a source must have been followed for its loss not to count as a failed attempt. Without it a source
+// that repeatedly connects and fails would be retried without a pause.
+const minSourceLife = 100 * time.Millisecond
 
-// State is what a node knows of its tables' freshness and of the nodes that it may take them from.
+// State tracks how fresh the node's tables are and which nodes it can take them from.
 type State struct {
 	self   Member
 	config Config
 	rng    *rand.Rand
 
-	started time.Time
-	tree    *Tree // nil while the members are not known
-	isNew   bool  // whether the node did not stand among the members when it learned of them
-	choices []Member
+	started      time.Time
+	tree         *Tree // nil until the members are known
+	unregistered bool  // whether the node was missing from the first list of members
+	candidates   []Member
 
-	held      bool      // whether the node holds all tables
-	confirmed time.Time // as of which the store confirmed them
-	reader    vaneyoke.VMID
+	complete    bool      // whether the node holds all tables
+	confirmedAt time.Time // when the store confirmed them
+	reader      vaneyoke.VMID
 
-	source  *source
-	choice  int       // of choices that is tried next
-	retryAt time.Time // when the choices are tried again, after all of them failed; the zero time for none
-	homeAt  time.Time // when the first choice is asked again; the zero time for not at all
+	source        *source
+	nextCandidate int       // index of the candidate that is tried next
+	retryAt       time.Time // when the candidates are tried again, after all of them failed; zero if not scheduled
+	failbackAt    time.Time // when the preferred source is queried again; zero if not scheduled
 
-	oldSince time.Time // since when the tables have not been fresh; the zero time where they are
-	tries    int       // to find fresh ones since then
-	tryAt    time.Time
+	staleSince time.Time // since when the tables have been stale; zero while they are fresh
+	searches   int       // searches for fresh tables since then
+	searchAt   time.Time
 
-	reading  Reading
-	scouting bool // whether the node tries the store although it is not its place
-	scouted  bool // whether it found that the store answers
+	readMode       ReadMode
+	probing        bool // whether the node probes the store although it is no standby
+	probeSucceeded bool // whether the probe found that the store answers
 
 	offerAt   time.Time
 	followers map[vaneyoke.VMID]int
@@ -47,58 +47,58 @@
 	effects []Effect
 }
 
-// source is the node that is followed.
+// source is the node that this one follows.
 type source struct {
-	member Member
-	since  time.Time
-	spoken bool
-	fresh  bool // whether its tables were not old when it spoke last, and not told by this node itself
+	member    Member
+	since     time.Time
+	responded bool
+	fresh     bool // whether its last status was fresh, and not confirmed by this node itself
 }
 
-// New returns a node's state.
+// New returns the state of a node that has not started.
 func New(self Member, config Config, rng *rand.Rand) *State {
 	return &State{self: self, config: config, rng: rng, followers: map[vaneyoke.VMID]int{}}
 }
 
-// Handle takes in an event and returns what has to be done.
+// Handle processes an event and returns the actions to take.
 func (s *State) Handle(now time.Time, event Event) []Effect {
 	s.effects = nil
-	held := s.held
+	wasComplete := s.complete
 	switch e := event.(type) {
 	case Started:
 		s.started = now
-	case Members:
-		s.setMembers(now, e.All)
-	case Told:
-		s.told(now, e)
-	case Lost:
-		s.lost(now, e)
-	case Answered:
-		s.answered(now, e)
-	case Offered:
-		s.offered(now, e)
+	case MembersUpdated:
+		s.setMembers(now, e.Members)
+	case StatusReceived:
+		s.handleStatus(now, e)
+	case SourceLost:
+		s.handleSourceLost(now, e)
+	case QueryAnswered:
+		s.handleAnswer(now, e)
+	case OfferReceived:
+		s.handleOffer(now, e)
 	case StoreRead:
-		s.take(now, e.Word)
-		s.scouted = s.scouting
+		s.mergeStatus(now, e.Status)
+		s.probeSucceeded = s.probing
 	case StoreFailed:
-		s.scouting, s.scouted = false, false
-	case Followed:
-		s.followers[e.By]++
-	case Unfollowed:
-		s.unfollowed(e.By)
+		s.probing, s.probeSucceeded = false, false
+	case FollowerAdded:
+		s.followers[e.VM]++
+	case FollowerRemoved:
+		s.removeFollower(e.VM)
 	case Tick:
 	}
-	if s.held && !held {
-		s.offerAt = now // others may wait for tables, too
+	if s.complete && !wasComplete {
+		s.offerAt = now // other nodes may be waiting for tables
 	}
 	s.decide(now)
 	return s.effects
 }
 
-// Next returns when the node has to decide anew though nothing has happened.
-func (s *State) Next(now time.Time) time.Time {
-	next := now.Add(s.config.Longest)
-	for _, at := range []time.Time{s.retryAt, s.homeAt, s.tryAt, s.offerAt, s.started.Add(s.config.First), s.leadEnds()} {
+// NextTick returns when Tick is due if no other event comes before.
+func (s *State) NextTick(now time.Time) time.Time {
+	next := now.Add(s.config.MaxSearchInterval)
+	for _, at := range []time.Time{s.retryAt, s.failbackAt, s.searchAt, s.offerAt, s.started.Add(s.config.MemberWait), s.graceEnd()} {
 		if at.After(now) && at.Before(next) {
 			next = at
 		}
@@ -106,7 +106,7 @@
 	return next
 }
 
-// Source returns the node that is followed; ok is false where there is none.
+// Source returns the node that is followed; ok is false if there is none.
 func (s *State) Source() (m Member, ok bool) {
 	if s.source == nil {
 		return Member{}, false
@@ -114,134 +114,138 @@
 	return s.source.member, true
 }
 
-// Reading returns how the node reads the store.
-func (s *State) Reading() Reading { return s.reading }
+// ReadMode returns how the node reads the store.
+func (s *State) ReadMode() ReadMode { return s.readMode }
 
 // FollowerVMs returns the nodes that follow this one, sorted.
 func (s *State) FollowerVMs() []vaneyoke.VMID { return slices.Sorted(maps.Keys(s.followers)) }
 
-// Followers returns how many nodes follow this one.
-func (s *State) Followers() int { return len(s.followers) }
+// FollowerCount returns how many nodes follow this one.
+func (s *State) FollowerCount() int { return len(s.followers) }
 
-// Fresh reports whether the node's tables are not old.
-func (s *State) Fresh(now time.Time) bool { return s.held && now.Sub(s.confirmed) <= s.config.OldAge }
+// Fresh reports whether the node holds all tables and they are not stale.
+func (s *State) Fresh(now time.Time) bool {
+	return s.complete && now.Sub(s.confirmedAt) <= s.config.StaleAfter
+}
 
-// Word returns what the node says of its tables.
-func (s *State) Word(now time.Time) Word {
-	return Word{Age: now.Sub(s.confirmed), Known: s.held, Reader: s.reader}
+// Status returns the status of the node's tables.
+func (s *State) Status(now time.Time) TableStatus {
+	return TableStatus{Age: now.Sub(s.confirmedAt), Complete: s.complete, Reader: s.reader}
 }
 
-// decide does whatever the node's present state asks for.
+// decide updates the source, the read mode and the offers to the present state.
 func (s *State) decide(now time.Time) {
-	s.judgeAge(now)
+	s.updateStaleness(now)
 	s.chooseSource(now)
-	s.seek(now)
-	s.chooseReading(now)
-	s.offer(now)
+	s.search(now)
+	s.updateReadMode(now)
+	s.sendOffers(now)
 }
 
-// judgeAge notes since when the tables are old.
-func (s *State) judgeAge(now time.Time) {
+// updateStaleness tracks since when the tables have been stale, and schedules the first search.
+func (s *State) updateStaleness(now time.Time) {
 	if s.Fresh(now) {
-		s.oldSince, s.tries, s.tryAt = time.Time{}, 0, time.Time{}
+		s.staleSince, s.searches, s.searchAt = time.Time{}, 0, time.Time{}
 		return
 	}
-	if s.oldSince.IsZero() {
-		s.oldSince = now
-		s.tryAt = now.Add(s.vary(s.config.Lead))
+	if s.staleSince.IsZero() {
+		s.staleSince = now
+		s.searchAt = now.Add(s.jitter(s.config.StaleGrace))
 	}
 }
 
 func (s *State) setMembers(now time.Time, all []Member) {
 	first := s.tree == nil
 	s.tree = NewTree(all)
-	s.isNew = s.isNew || first && !s.tree.Holds(s.self)
-	s.choices = s.tree.Above(s.self, s.config.Choices)
+	s.unregistered = s.unregistered || first && !s.tree.Contains(s.self)
+	s.candidates = s.tree.Candidates(s.self, s.config.MaxCandidates)
 	if first || s.source == nil {
-		s.choice, s.retryAt = 0, now
+		s.nextCandidate, s.retryAt = 0, now
 	}
-	if s.source != nil && !s.isFirstChoice(s.source.member) && s.homeAt.IsZero() {
-		s.homeAt = now.Add(s.vary(s.homePause()))
+	if s.source != nil && !s.isPreferred(s.source.member) && s.failbackAt.IsZero() {
+		s.failbackAt = now.Add(s.jitter(s.failbackPause()))
 	}
 }
 
-func (s *State) told(now time.Time, e Told) {
+func (s *State) handleStatus(now time.Time, e StatusReceived) {
 	if s.source == nil || s.source.member.VM != e.From {
 		return
 	}
-	s.take(now, e.Word)
-	if !s.source.spoken && s.isFirstChoice(s.source.member) {
-		s.homeAt = time.Time{}
+	s.mergeStatus(now, e.Status)
+	if !s.source.responded && s.isPreferred(s.source.member) {
+		s.failbackAt = time.Time{}
 	}
-	s.source.spoken = true
-	s.source.fresh = s.reliable(e.Word)
-	s.choice = 0
+	s.source.responded = true
+	s.source.fresh = s.reliable(e.Status)
+	s.nextCandidate = 0
 }
 
-// reliable reports whether tables are not old, and not this node's own.
-func (s *State) reliable(w Word) bool {
-	return w.Known && w.Age <= s.config.OldAge && w.Reader != s.self.VM
+// reliable reports whether tables are complete, not stale, and not confirmed by this node itself.
+func (s *State) reliable(status TableStatus) bool {
+	return status.Complete && status.Age <= s.config.StaleAfter && status.Reader != s.self.VM
 }
 
-// take takes in what is known of the node's tables after others were taken in.
-func (s *State) take(now time.Time, w Word) {
-	if !w.Known {
+// mergeStatus updates the status of the node's tables after newer ones were applied.
+func (s *State) mergeStatus(now time.Time, status TableStatus) {
+	if !status.Complete {
 		return
 	}
-	s.held = true
-	if at := now.Add(-w.Age); at.After(s.confirmed) {
-		s.confirmed, s.reader = at, w.Reader
+	s.complete = true
+	if at := now.Add(-status.Age); at.After(s.confirmedAt) {
+		s.confirmedAt, s.reader = at, status.Reader
 	}
 }
 
-func (s *State) lost(now time.Time, e Lost) {
+func (s *State) handleSourceLost(now time.Time, e SourceLost) {
 	if s.source == nil || s.source.member.VM != e.From {
 		return
 	}
-	if s.source.spoken && now.Sub(s.source.since) >= quick {
-		s.choice = 0
+	if s.source.responded && now.Sub(s.source.since) >= minSourceLife {
+		s.nextCandidate = 0
 	}
 	s.source = nil
 	s.retryAt = now
 }
 
-// answered takes in what a node says that was asked: it is followed where its tables are better, or where it is the first choice.
-func (s *State) answered(now time.Time, e Answered) {
-	better := s.reliable(e.Word) && !s.Fresh(now) || e.Word.Known && !s.held
-	home := s.isFirstChoice(e.From) && e.Word.Known && (s.reliable(e.Word) || !s.Fresh(now))
-	if better || home {
+// handleAnswer follows the queried node if its tables are better than the node's own, or if it is the preferred source.
+func (s *State) handleAnswer(now time.Time, e QueryAnswered) {
+	better := s.reliable(e.Status) && !s.Fresh(now) || e.Status.Complete && !s.complete
+	preferred := s.isPreferred(e.From) && e.Status.Complete && (s.reliable(e.Status) || !s.Fresh(now))
+	if better || preferred {
 		s.follow(now, e.From)
 	}
 }
 
-// offered follows a node that offers better tables, unless another one has just been asked.
-func (s *State) offered(now time.Time, e Offered) {
-	if s.source != nil && !s.source.spoken && now.Sub(s.source.since) < s.config.Lead || s.source != nil && s.source.member.VM == e.From.VM {
+// handleOffer follows a node that offers better tables, unless a source was chosen just before and has not responded yet.
+func (s *State) handleOffer(now time.Time, e OfferReceived) {
+	if s.source != nil && !s.source.responded && now.Sub(s.source.since) < s.config.StaleGrace || s.source != nil && s.source.member.VM == e.From.VM {
 		return
 	}
-	if s.reliable(e.Word) && !s.Fresh(now) || e.Word.Known && !s.held {
+	if s.reliable(e.Status) && !s.Fresh(now) || e.Status.Complete && !s.complete {
 		s.follow(now, e.From)
 	}
 }
 
-func (s *State) unfollowed(by vaneyoke.VMID) {
-	if s.followers[by]--; s.followers[by] <= 0 {
-		delete(s.followers, by)
+func (s *State) removeFollower(vm vaneyoke.VMID) {
+	if s.followers[vm]--; s.followers[vm] <= 0 {
+		delete(s.followers, vm)
 	}
 }
 
-func (s *State) isFirstChoice(m Member) bool { return len(s.choices) > 0 && s.choices[0].VM == m.VM }
+func (s *State) isPreferred(m Member) bool {
+	return len(s.candidates) > 0 && s.candidates[0].VM == m.VM
+}
 
-// homePause returns the time after which the first choice is asked again: soon where what is followed is no better.
-func (s *State) homePause() time.Duration {
+// failbackPause returns the time after which the preferred source is queried; it is short if the current source is not fresh.
+func (s *State) failbackPause() time.Duration {
 	if s.source != nil && s.source.fresh {
-		return s.config.Return
+		return s.config.FailbackInterval
 	}
-	return s.config.Lead
+	return s.config.StaleGrace
 }
 
-// vary spreads a pause by a quarter either way, so that nodes do not act as one.
-func (s *State) vary(d time.Duration) time.Duration {
+// jitter varies a duration by up to a quarter either way, so that nodes do not act at the same time.
+func (s *State) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(s.rng.Int64N(int64(d)/2+1))
 }
 
--- a/decide/gossip/bench_test.go
+++ b/decide/gossip/bench_test.go
@@ -9,20 +9,20 @@
 	"github.com/vaneyoke/vaneyoke/decide/gossip"
 )
 
-// BenchmarkSightings takes in and tells on 400 sightings a second from four neighbours, as where a third of the upstreams of a fleet of
-// 300 nodes is replaced; it tells the time for each sighting.
+// BenchmarkSightings processes and forwards 400 sightings a second from four neighbours, the load when a third of the upstreams
+// of a fleet of 300 nodes is replaced; it reports the time per sighting.
 func BenchmarkSightings(b *testing.B) {
 	s := gossip.New("vm0", 0)
 	now := time.Unix(1000, 0)
-	s.Handle(now, gossip.Neighbours{VMs: []vaneyoke.VMID{"vm1", "vm2", "vm3", "vm4"}})
-	number := uint64(0)
+	s.Handle(now, gossip.NeighboursUpdated{VMs: []vaneyoke.VMID{"vm1", "vm2", "vm3", "vm4"}})
+	sequence := uint64(0)
 	for b.Loop() {
-		number++
+		sequence++
 		now = now.Add(time.Second / 400)
-		s.Handle(now, gossip.Told{From: "vm1", Sightings: []gossip.Sighting{{
-			Origin: "vm9", Number: number, Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", number%900)), Kind: gossip.KindUnreachable,
+		s.Handle(now, gossip.SightingsReceived{From: "vm1", Sightings: []gossip.Sighting{{
+			Origin: "vm9", Sequence: sequence, Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", sequence%900)), Kind: gossip.KindUnreachable,
 		}}})
-		if at := s.Next(); !at.IsZero() && !now.Before(at) {
+		if at := s.NextTick(); !at.IsZero() && !now.Before(at) {
 			s.Handle(now, gossip.Tick{})
 		}
 	}
--- a/decide/gossip/doc.go
+++ b/decide/gossip/doc.go
@@ -1,2 +1,3 @@
-// Package gossip decides, without I/O, which failures of upstreams a node tells the others, and what it believes of those that it is told.
+// Package gossip decides, without I/O, which observations about upstreams a node reports to others, and which reports of others
+// it acts on.
 package gossip
--- a/decide/gossip/event.go
+++ b/decide/gossip/event.go
@@ -5,86 +5,86 @@
 	"github.com/vaneyoke/vaneyoke/internal/names"
 )
 
-// Kind is what a node saw of an upstream.
+// Kind is what a node observed about an upstream.
 type Kind int
 
 // The kinds of sighting.
 const (
-	KindLost        Kind = iota + 1 // it took a request and broke off or fell silent
-	KindUnreachable                 // it takes no connections
-	KindGone                        // another upstream has its address
-	KindWell                        // it answered
-	KindCrash                       // it ended as it began to run a content
-	KindSurvived                    // some upstream answered a content in whole
+	KindLost        Kind = iota + 1 // it accepted a request, and then the connection broke or went silent
+	KindUnreachable                 // it accepts no connections
+	KindReplaced                    // another upstream uses its address
+	KindHealthy                     // it answered
+	KindCrash                       // it crashed when it began to run a content
+	KindSurvived                    // some upstream answered a content completely
 )
 
-// String names the kind as it stands in logs.
+// String returns the name of the kind in logs.
 func (k Kind) String() string {
 	return names.Of(k, "none", "lost", "unreachable", "gone", "well", "crash", "survived")
 }
 
-// Sound reports whether a sighting says something that this build knows. One that does not is neither believed nor told on: what a later build
-// tells may end one of the first dialect.
-func (s *Sighting) Sound() bool { return s.Kind >= KindLost && s.Kind <= KindSurvived && s.Hops >= 0 }
+// Valid reports whether this build understands the sighting. Others are neither applied nor forwarded: what a later build
+// reports may crash one of the first protocol version.
+func (s *Sighting) Valid() bool { return s.Kind >= KindLost && s.Kind <= KindSurvived && s.Hops >= 0 }
 
-// OfRun reports whether the kind says something of what a request asks, and not of the way to an upstream.
-func (k Kind) OfRun() bool { return k == KindCrash || k == KindSurvived }
+// AboutContent reports whether the kind concerns the content of a request, and not the connection to an upstream.
+func (k Kind) AboutContent() bool { return k == KindCrash || k == KindSurvived }
 
-// Run is what a request did to an upstream; it is told of crashes and of what survived.
+// Run is what a request did to an upstream; it is set for KindCrash and KindSurvived.
 type Run struct {
-	Content     vaneyoke.ContentID   `json:"c,omitempty"`
-	Incarnation vaneyoke.Incarnation `json:"i,omitempty"`
-	Again       int                  `json:"a,omitempty"` // lives that it ended before under the same incarnation
+	Content      vaneyoke.ContentID   `json:"c,omitempty"`
+	Incarnation  vaneyoke.Incarnation `json:"i,omitempty"`
+	PriorCrashes int                  `json:"a,omitempty"` // earlier crashes that it caused under the same incarnation
 }
 
-// Sighting is what a node saw of an upstream, as it is told on.
+// Sighting is what a node observed about an upstream, as it is forwarded.
 type Sighting struct {
 	Origin   vaneyoke.VMID       `json:"o"`
-	Number   uint64              `json:"n"` // among those of its origin
+	Sequence uint64              `json:"n"` // among the sightings of its origin
 	Upstream vaneyoke.UpstreamID `json:"u"`
 	Kind     Kind                `json:"k"`
-	Hops     int                 `json:"h"` // how often it was told on
+	Hops     int                 `json:"h"` // how often it was forwarded
 	Run
 }
 
-// Event is something that a node learns.
+// Event is an input of State.Handle.
 type Event interface{ event() }
 
-// Neighbours tells the nodes next to this one in the tree by which the store's tables are told.
-type Neighbours struct{ VMs []vaneyoke.VMID }
+// NeighboursUpdated carries the neighbours of this node in the tree along which the store's tables are replicated.
+type NeighboursUpdated struct{ VMs []vaneyoke.VMID }
 
-// Seen tells what this node saw of an upstream.
-type Seen struct {
+// Observed reports what this node observed about an upstream.
+type Observed struct {
 	Upstream vaneyoke.UpstreamID
 	Kind     Kind
-	Run      Run // of a crash, or of what survived
+	Run      Run // set for KindCrash and KindSurvived
 }
 
-// Told tells what another node saw or was told.
-type Told struct {
+// SightingsReceived carries sightings that another node observed or forwards.
+type SightingsReceived struct {
 	From      vaneyoke.VMID
 	Sightings []Sighting
 }
 
-// Tick says that the time has come that State.Next told.
+// Tick reports that the time returned by State.NextTick has come.
 type Tick struct{}
 
-func (Neighbours) event() {}
-func (Seen) event()       {}
-func (Told) event()       {}
-func (Tick) event()       {}
+func (NeighboursUpdated) event() {}
+func (Observed) event()          {}
+func (SightingsReceived) event() {}
+func (Tick) event()              {}
 
-// Effect is something that the node has to do.
+// Effect is an action that the node has to take.
 type Effect interface{ effect() }
 
-// Send has the node tell a neighbour, who need not answer.
-type Send struct {
+// SendSightings sends sightings to a neighbour, which need not answer.
+type SendSightings struct {
 	To        vaneyoke.VMID
 	Sightings []Sighting
 }
 
-// Believe has the node take what another one saw for true.
-type Believe struct{ Sighting Sighting }
+// ApplySighting makes the node act on a sighting of another node.
+type ApplySighting struct{ Sighting Sighting }
 
-func (Send) effect()    {}
-func (Believe) effect() {}
+func (SendSightings) effect() {}
+func (ApplySighting) effect() {}
--- a/decide/gossip/fleet_test.go
+++ b/decide/gossip/fleet_test.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	fanOut = 4
-	step   = 5 * time.Millisecond
-	onWay  = 2 * time.Millisecond // of a datagram
+	fanOut        = 4
+	step          = 5 * time.Millisecond
+	datagramDelay = 2 * time.Millisecond // one way
 )
 
-// fleet is nodes in a tree, each with its own sight of the upstreams, on a clock of its own.
+// fleet is a tree of nodes on a virtual clock, each with its own view of the upstreams.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Time
-	nodes   []*member
-	flying  []datagram
-	sent    []int // datagrams of each node
-	largest int   // sightings in one
-	mute    bool  // whether nodes tell one another nothing
-	lossy   float64
+	rng       *rand.Rand
+	now       time.Time
+	nodes     []*member
+	inFlight  []datagram
+	sent      []int // datagrams of each node
+	largest   int   // sightings in one datagram
+	gossipOff bool  // whether nodes send one another nothing
+	lossRate  float64
 }
 
 type member struct {
@@ -57,7 +57,7 @@
 		for child := i*fanOut + 1; child <= i*fanOut+fanOut && child < nodes; child++ {
 			neighbours = append(neighbours, vm(child))
 		}
-		m.gossip.Handle(f.now, gossip.Neighbours{VMs: neighbours})
+		m.gossip.Handle(f.now, gossip.NeighboursUpdated{VMs: neighbours})
 		f.nodes = append(f.nodes, m)
 	}
 	return f
@@ -67,39 +67,39 @@
 	m := f.nodes[i]
 	for _, effect := range m.gossip.Handle(f.now, ev) {
 		switch e := effect.(type) {
-		case gossip.Believe:
+		case gossip.ApplySighting:
 			m.placer.Heard(f.now, e.Sighting.Upstream, e.Sighting.Kind)
-		case gossip.Send:
+		case gossip.SendSightings:
 			f.send(i, e)
 		}
 	}
 }
 
-func (f *fleet) send(from int, e gossip.Send) {
+func (f *fleet) send(from int, e gossip.SendSightings) {
 	f.sent[from]++
 	f.largest = max(f.largest, len(e.Sightings))
-	if f.mute || f.rng.Float64() < f.lossy {
+	if f.gossipOff || f.rng.Float64() < f.lossRate {
 		return
 	}
 	var to int
 	_, _ = fmt.Sscanf(string(e.To), "vm%d", &to)
-	f.flying = append(f.flying, datagram{f.now.Add(onWay), from, to, append([]gossip.Sighting(nil), e.Sightings...)})
+	f.inFlight = append(f.inFlight, datagram{f.now.Add(datagramDelay), from, to, append([]gossip.Sighting(nil), e.Sightings...)})
 }
 
-// pass lets a step of time pass.
-func (f *fleet) pass() {
+// advance moves the clock by one step.
+func (f *fleet) advance() {
 	f.now = f.now.Add(step)
-	flying := f.flying
-	f.flying = nil
-	for _, d := range flying {
+	inFlight := f.inFlight
+	f.inFlight = nil
+	for _, d := range inFlight {
 		if d.at.After(f.now) {
-			f.flying = append(f.flying, d)
+			f.inFlight = append(f.inFlight, d)
 			continue
 		}
-		f.handle(d.to, gossip.Told{From: vm(d.from), Sightings: d.sightings})
+		f.handle(d.to, gossip.SightingsReceived{From: vm(d.from), Sightings: d.sightings})
 	}
 	for i, m := range f.nodes {
-		if at := m.gossip.Next(); !at.IsZero() && !f.now.Before(at) {
+		if at := m.gossip.NextTick(); !at.IsZero() && !f.now.Before(at) {
 			f.handle(i, gossip.Tick{})
 		}
 	}
@@ -107,7 +107,7 @@
 
 // answered notes that an upstream answered a node.
 func (f *fleet) answered(i int, id vaneyoke.UpstreamID) {
-	f.handle(i, gossip.Seen{Upstream: id, Kind: gossip.KindWell})
+	f.handle(i, gossip.Observed{Upstream: id, Kind: gossip.KindHealthy})
 }
 
 func services(count int) []vaneyoke.Upstream {
@@ -119,15 +119,15 @@
 	return all
 }
 
-// TestFlappingUpstream has one of three upstreams lose all that it takes for 1.7 s, again and again, before 90 nodes that send 110
-// calls a second in all, six in ten of which may be sent once only. Told of one another's losses the nodes lose a few calls each
-// time; by themselves each would have to lose three.
+// TestFlappingUpstream has one of three upstreams lose all requests for 1.7 s, again and again, while 90 nodes send 110 calls a
+// second in all, 60 % of which may be sent only once. With gossip the nodes lose a few calls each time; without it each node
+// would have to lose three.
 func TestFlappingUpstream(t *testing.T) {
-	play := func(mute bool) (lostOnce, lost, calls int) {
+	run := func(gossipOff bool) (lostOnce, lost, calls int) {
 		f := newFleet(90, services(3))
-		f.mute = mute
+		f.gossipOff = gossipOff
 		for since := time.Duration(0); since < 11*time.Second; since += step {
-			f.pass()
+			f.advance()
 			down := since > 2*time.Second && since%(3600*time.Millisecond) < 1700*time.Millisecond
 			for f.rng.Float64() < 110*step.Seconds() {
 				i := f.rng.IntN(len(f.nodes))
@@ -143,7 +143,7 @@
 						lostOnce++
 					}
 					m.placer.Ended(f.now, u.ID, placement.OutcomeLost, false)
-					f.handle(i, gossip.Seen{Upstream: u.ID, Kind: gossip.KindLost})
+					f.handle(i, gossip.Observed{Upstream: u.ID, Kind: gossip.KindLost})
 					break
 				}
 				m.placer.FirstToken(f.now, u.ID, 30*time.Millisecond, 0)
@@ -154,24 +154,24 @@
 		}
 		return lostOnce, lost, calls
 	}
-	onceAlone, alone, calls := play(true)
-	onceTold, told, _ := play(false)
-	t.Logf("of %d calls %d were lost alone, %d of them once only; %d and %d where nodes tell one another", calls, alone, onceAlone, told, onceTold)
-	must.Less(t, alone/2, told)
-	must.Less(t, onceAlone/5, onceTold)
+	onceWithout, without, calls := run(true)
+	onceWith, with, _ := run(false)
+	t.Logf("of %d calls %d were lost without gossip, %d of them allowed only once; %d and %d with gossip", calls, without, onceWithout, with, onceWith)
+	must.Less(t, without/2, with)
+	must.Less(t, onceWithout/5, onceWith)
 }
 
-// TestDataCentreFalls has 60 of 180 upstreams be replaced at once while no list says so: few attempts are declined by those that
-// have their addresses, each node sends a bounded number of datagrams, and so it stays in a fleet of 1,043.
-func TestDataCentreFalls(t *testing.T) {
+// TestUpstreamsReplacedInBulk replaces 60 of 180 upstreams at once while no list shows it: few attempts are declined by the
+// upstreams that took over their addresses, and each node sends a bounded number of datagrams, also in a fleet of 1,043 nodes.
+func TestUpstreamsReplacedInBulk(t *testing.T) {
 	for _, nodes := range []int{6, 90, 1043} {
-		play := func(mute bool) (declined, busiest, largest int) {
+		run := func(gossipOff bool) (declined, busiest, largest int) {
 			f := newFleet(nodes, services(180))
-			f.mute = mute
-			f.lossy = 0.02
+			f.gossipOff = gossipOff
+			f.lossRate = 0.02
 			rate := 46 * float64(nodes) / 90
 			for since := time.Duration(0); since < 6*time.Second; since += step {
-				f.pass()
+				f.advance()
 				for left := rate * step.Seconds(); f.rng.Float64() < left; left-- {
 					i := f.rng.IntN(len(f.nodes))
 					m := f.nodes[i]
@@ -186,7 +186,7 @@
 						}
 						declined++
 						m.placer.Ended(f.now, u.ID, placement.OutcomeGone, false)
-						f.handle(i, gossip.Seen{Upstream: u.ID, Kind: gossip.KindGone})
+						f.handle(i, gossip.Observed{Upstream: u.ID, Kind: gossip.KindReplaced})
 					}
 				}
 			}
@@ -195,26 +195,26 @@
 			}
 			return declined, busiest, f.largest
 		}
-		alone, _, _ := play(true)
-		told, busiest, largest := play(false)
-		t.Logf("%d nodes: %d declined alone, %d told; at most %d datagrams a node, %d sightings in one", nodes, alone, told, busiest, largest)
+		without, _, _ := run(true)
+		with, busiest, largest := run(false)
+		t.Logf("%d nodes: %d declined without gossip, %d with it; at most %d datagrams a node, %d sightings in one", nodes, without, with, busiest, largest)
 		must.LessEq(t, 16, largest)
-		must.LessEq(t, 5*120, busiest)           // five neighbours, 60 upstreams, each told once or twice
-		must.LessEq(t, max(2*60, alone/3), told) // each of the 60 has to be found out by one
-		must.LessEq(t, alone, told)
+		must.LessEq(t, 5*120, busiest)             // five neighbours, 60 upstreams, each reported once or twice
+		must.LessEq(t, max(2*60, without/3), with) // each of the 60 has to be found out by one node
+		must.LessEq(t, without, with)
 	}
 }
 
-// TestNodeThatIsCutOffIsNotBelieved has one node reach no upstream: neither does it tell for long, nor is it believed alone.
-func TestNodeThatIsCutOffIsNotBelieved(t *testing.T) {
+// TestIsolatedNodeIsNotBelieved has one node reach no upstream: it soon stops reporting, and no other node believes it alone.
+func TestIsolatedNodeIsNotBelieved(t *testing.T) {
 	f := newFleet(30, services(20))
 	for i := range f.nodes {
 		f.answered(i, "u0")
 	}
 	for since := time.Duration(0); since < 4*time.Second; since += step {
-		f.pass()
+		f.advance()
 		if since%(40*time.Millisecond) == 0 {
-			f.handle(7, gossip.Seen{Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", f.rng.IntN(20))), Kind: gossip.KindUnreachable})
+			f.handle(7, gossip.Observed{Upstream: vaneyoke.UpstreamID(fmt.Sprint("u", f.rng.IntN(20))), Kind: gossip.KindUnreachable})
 		}
 		for i, m := range f.nodes {
 			for _, load := range m.placer.Loads(time.Time{}) {
@@ -225,14 +225,15 @@
 	before := f.sent[7]
 	must.Positive(t, before)
 	for since := time.Duration(0); since < time.Second; since += step {
-		f.pass()
-		f.handle(7, gossip.Seen{Upstream: "u3", Kind: gossip.KindUnreachable})
+		f.advance()
+		f.handle(7, gossip.Observed{Upstream: "u3", Kind: gossip.KindUnreachable})
 	}
 	must.EqOp(t, before, f.sent[7])
 }
 
-// TestUpstreamThatIsWellAgain is open at all nodes until one of them gets an answer.
-func TestUpstreamThatIsWellAgain(t *testing.T) {
+// TestHealthyUpstreamClosesBreakers has an upstream whose breaker is open at all nodes that were told of its losses, until one
+// of them gets an answer.
+func TestHealthyUpstreamClosesBreakers(t *testing.T) {
 	f := newFleet(30, services(4))
 	for i := range f.nodes {
 		f.answered(i, "u0")
@@ -248,30 +249,30 @@
 		return n
 	}
 	for i := range 3 {
-		f.handle(4+i, gossip.Seen{Upstream: "u2", Kind: gossip.KindLost})
-		f.pass()
+		f.handle(4+i, gossip.Observed{Upstream: "u2", Kind: gossip.KindLost})
+		f.advance()
 	}
 	for range 40 {
-		f.pass()
+		f.advance()
 	}
-	must.EqOp(t, 27, opened()) // the three that saw it count their own losses elsewhere
+	must.EqOp(t, 27, opened()) // the three nodes that observed the losses count their own elsewhere
 	f.answered(9, "u2")
 	for range 40 {
-		f.pass()
+		f.advance()
 	}
-	must.EqOp(t, 1, opened()) // the one that has the answer learns of it by its own attempt
+	must.EqOp(t, 1, opened()) // the node that got the answer learns of it by its own attempt
 }
 
-// TestStormIsBounded tells far more than a node may tell on.
-func TestStormIsBounded(t *testing.T) {
+// TestSightingBurstIsBounded reports far more sightings than a node may forward.
+func TestSightingBurstIsBounded(t *testing.T) {
 	f := newFleet(2, services(1))
 	f.answered(0, "u0")
 	for i := range 10_000 {
-		f.handle(0, gossip.Seen{Upstream: vaneyoke.UpstreamID(fmt.Sprint("x", i)), Kind: gossip.KindLost})
+		f.handle(0, gossip.Observed{Upstream: vaneyoke.UpstreamID(fmt.Sprint("x", i)), Kind: gossip.KindLost})
 	}
-	f.pass()
-	f.pass()
-	f.pass()
+	f.advance()
+	f.advance()
+	f.advance()
 	must.LessEq(t, 4, f.sent[0])
 	must.LessEq(t, 16, f.largest)
 }
--- a/decide/gossip/state.go
+++ b/decide/gossip/state.go
@@ -7,72 +7,73 @@
 )
 
 const (
-	gather    = 10 * time.Millisecond  // in which sightings come together before they are told
-	mostTold  = 16                     // sightings in one message, which has to fit into a datagram
-	mostKept  = 64                     // sightings that wait to be told; what comes beyond is left out
-	mostHops  = 16                     // more levels than the tree has up and down, in case it is turned round meanwhile
-	remember  = 5 * time.Second        // for which a sighting is known again
-	fresh     = time.Second            // for which a failure counts
-	pauseLost = 100 * time.Millisecond // between two sightings of a kind of an upstream that a node tells
-	pauseRest = 300 * time.Millisecond
-	witnesses = 2           // nodes that must have found an upstream unreachable before it is believed: one may be cut off itself
-	tidyEvery = time.Second // between two looks for what can be forgotten
-	// serving is the time without any answer after which a node tells nothing: it may be cut off itself.
-	serving = 2 * time.Second
+	batchDelay      = 10 * time.Millisecond  // for which sightings are collected before they are sent
+	maxBatch        = 16                     // sightings in one message, which has to fit into a datagram
+	maxQueued       = 64                     // sightings that wait to be sent; further ones are dropped
+	maxHops         = 16                     // more than the levels of the tree up and down, in case the tree changes meanwhile
+	dedupWindow     = 5 * time.Second        // for which a sighting is remembered, to drop duplicates
+	failureWindow   = time.Second            // for which a failure counts
+	lostInterval    = 100 * time.Millisecond // between two reports about an upstream, for KindLost
+	reportInterval  = 300 * time.Millisecond // the same for each other kind
+	minWitnesses    = 2                      // nodes that must have found an upstream unreachable before it is believed: a single one may be cut off itself
+	cleanupInterval = time.Second            // between two removals of expired entries
+	// isolationTimeout is the time without an answer from any upstream after which a node reports nothing: it may be cut off
+	// itself.
+	isolationTimeout = 2 * time.Second
 )
 
-// State is what a node knows of sightings.
+// State tracks the sightings that a node knows.
 type State struct {
 	self       vaneyoke.VMID
 	neighbours []vaneyoke.VMID
-	number     uint64
-	answeredAt time.Time // by any upstream
-	known      map[key]time.Time
-	toldAt     map[matter]time.Time
-	failures   map[vaneyoke.UpstreamID]map[vaneyoke.VMID]time.Time // by who saw them
-	outbox     []waiting
-	flushAt    time.Time // the zero time where nothing waits
-	tidiedAt   time.Time
+	sequence   uint64
+	answeredAt time.Time // last answer of any upstream
+	seen       map[sightingID]time.Time
+	reportedAt map[reportKey]time.Time
+	failures   map[vaneyoke.UpstreamID]map[vaneyoke.VMID]time.Time // by the node that observed them
+	outbox     []queuedSighting
+	flushAt    time.Time // zero while nothing is queued
+	cleanedAt  time.Time
 	effects    []Effect
 }
 
-type key struct {
-	origin vaneyoke.VMID
-	number uint64
+type sightingID struct {
+	origin   vaneyoke.VMID
+	sequence uint64
 }
 
-// matter is what a node tells no more often than its pause allows.
-type matter struct {
+// reportKey identifies what a node reports no more often than the interval of its kind allows.
+type reportKey struct {
 	upstream vaneyoke.UpstreamID
 	kind     Kind
 	run      Run
 }
 
-type waiting struct {
+type queuedSighting struct {
 	from     vaneyoke.VMID
 	sighting Sighting
 }
 
-// New returns a state that has seen nothing; a later start of the node begins with a higher number, so that what it tells is not taken
-// for what an earlier one told.
-func New(self vaneyoke.VMID, first uint64) *State {
-	return &State{self: self, number: first, known: map[key]time.Time{}, toldAt: map[matter]time.Time{}, failures: map[vaneyoke.UpstreamID]map[vaneyoke.VMID]time.Time{}}
+// New returns a state without sightings. A later start of the node needs a higher firstSequence, so that its sightings are not
+// taken for duplicates of those of an earlier start.
+func New(self vaneyoke.VMID, firstSequence uint64) *State {
+	return &State{self: self, sequence: firstSequence, seen: map[sightingID]time.Time{}, reportedAt: map[reportKey]time.Time{}, failures: map[vaneyoke.UpstreamID]map[vaneyoke.VMID]time.Time{}}
 }
 
-// Next returns when Tick is due, the zero time for not at all.
-func (s *State) Next() time.Time { return s.flushAt }
+// NextTick returns when Tick is due; zero if it is not.
+func (s *State) NextTick() time.Time { return s.flushAt }
 
-// Handle takes in an event and returns what has to be done; the slice is valid until the next call.
+// Handle processes an event and returns the actions to take; the slice is valid until the next call.
 func (s *State) Handle(now time.Time, ev Event) []Effect {
 	s.effects = s.effects[:0]
 	switch ev := ev.(type) {
-	case Neighbours:
+	case NeighboursUpdated:
 		s.neighbours = ev.VMs
-	case Seen:
-		s.seen(now, ev)
-	case Told:
+	case Observed:
+		s.handleObserved(now, ev)
+	case SightingsReceived:
 		for _, sighting := range ev.Sightings {
-			s.told(now, ev.From, sighting)
+			s.handleReceived(now, ev.From, sighting)
 		}
 	case Tick:
 		s.flush(now)
@@ -80,128 +81,128 @@
 	return s.effects
 }
 
-// seen tells what this node saw, unless it has told the same a moment ago. That an upstream answers is told only where another
-// node has seen it fail.
-func (s *State) seen(now time.Time, ev Seen) {
-	pause := pauseRest
+// handleObserved reports what this node observed, unless it has just reported the same. That an upstream answers is reported
+// only if a node has recently seen it fail.
+func (s *State) handleObserved(now time.Time, ev Observed) {
+	interval := reportInterval
 	switch ev.Kind {
-	case KindWell:
+	case KindHealthy:
 		s.answeredAt = now
-		if s.witnesses(now, ev.Upstream) == 0 {
+		if s.recentWitnesses(now, ev.Upstream) == 0 {
 			return
 		}
 		delete(s.failures, ev.Upstream)
 	case KindCrash, KindSurvived:
 	case KindLost:
-		pause = pauseLost
-		s.fail(now, ev.Upstream, s.self)
+		interval = lostInterval
+		s.recordFailure(now, ev.Upstream, s.self)
 	default:
-		s.fail(now, ev.Upstream, s.self)
+		s.recordFailure(now, ev.Upstream, s.self)
 	}
-	if !ev.Kind.OfRun() && now.Sub(s.answeredAt) > serving {
+	if !ev.Kind.AboutContent() && now.Sub(s.answeredAt) > isolationTimeout {
 		return
 	}
-	what := matter{ev.Upstream, ev.Kind, ev.Run}
-	if now.Sub(s.toldAt[what]) < pause {
+	key := reportKey{ev.Upstream, ev.Kind, ev.Run}
+	if now.Sub(s.reportedAt[key]) < interval {
 		return
 	}
-	s.toldAt[what] = now
-	s.number++
-	sighting := Sighting{Origin: s.self, Number: s.number, Upstream: ev.Upstream, Kind: ev.Kind, Run: ev.Run}
-	s.known[key{s.self, s.number}] = now
-	s.keep(now, s.self, sighting)
+	s.reportedAt[key] = now
+	s.sequence++
+	sighting := Sighting{Origin: s.self, Sequence: s.sequence, Upstream: ev.Upstream, Kind: ev.Kind, Run: ev.Run}
+	s.seen[sightingID{s.self, s.sequence}] = now
+	s.enqueue(now, s.self, sighting)
 }
 
-// told takes in what another node tells, and tells it on once.
-func (s *State) told(now time.Time, from vaneyoke.VMID, sighting Sighting) {
-	k := key{sighting.Origin, sighting.Number}
-	if _, ok := s.known[k]; ok || sighting.Origin == s.self || sighting.Hops >= mostHops || !sighting.Sound() {
+// handleReceived processes a sighting of another node, and forwards it once.
+func (s *State) handleReceived(now time.Time, from vaneyoke.VMID, sighting Sighting) {
+	id := sightingID{sighting.Origin, sighting.Sequence}
+	if _, ok := s.seen[id]; ok || sighting.Origin == s.self || sighting.Hops >= maxHops || !sighting.Valid() {
 		return
 	}
-	s.known[k] = now
+	s.seen[id] = now
 	sighting.Hops++
-	s.keep(now, from, sighting)
+	s.enqueue(now, from, sighting)
 	switch sighting.Kind {
 	case KindCrash, KindSurvived:
-	case KindWell:
+	case KindHealthy:
 		delete(s.failures, sighting.Upstream)
 	case KindUnreachable:
-		s.fail(now, sighting.Upstream, sighting.Origin)
-		if s.witnesses(now, sighting.Upstream) < witnesses {
+		s.recordFailure(now, sighting.Upstream, sighting.Origin)
+		if s.recentWitnesses(now, sighting.Upstream) < minWitnesses {
 			return
 		}
 	default:
-		s.fail(now, sighting.Upstream, sighting.Origin)
+		s.recordFailure(now, sighting.Upstream, sighting.Origin)
 	}
-	s.effects = append(s.effects, Believe{Sighting: sighting})
+	s.effects = append(s.effects, ApplySighting{Sighting: sighting})
 }
 
-func (s *State) fail(now time.Time, upstream vaneyoke.UpstreamID, origin vaneyoke.VMID) {
+func (s *State) recordFailure(now time.Time, upstream vaneyoke.UpstreamID, origin vaneyoke.VMID) {
 	if s.failures[upstream] == nil {
 		s.failures[upstream] = map[vaneyoke.VMID]time.Time{}
 	}
 	s.failures[upstream][origin] = now
 }
 
-// witnesses returns how many nodes have seen an upstream fail of late.
-func (s *State) witnesses(now time.Time, upstream vaneyoke.UpstreamID) (n int) {
+// recentWitnesses returns how many nodes have recently seen an upstream fail.
+func (s *State) recentWitnesses(now time.Time, upstream vaneyoke.UpstreamID) (n int) {
 	for _, at := range s.failures[upstream] {
-		if now.Sub(at) < fresh {
+		if now.Sub(at) < failureWindow {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *State) keep(now time.Time, from vaneyoke.VMID, sighting Sighting) {
-	most := mostKept
-	if sighting.Kind.OfRun() { // few, and each counts
-		most *= 2
+func (s *State) enqueue(now time.Time, from vaneyoke.VMID, sighting Sighting) {
+	limit := maxQueued
+	if sighting.Kind.AboutContent() { // there are few, and each one counts
+		limit *= 2
 	}
-	if len(s.outbox) >= most || len(s.neighbours) == 0 {
+	if len(s.outbox) >= limit || len(s.neighbours) == 0 {
 		return
 	}
-	s.outbox = append(s.outbox, waiting{from, sighting})
+	s.outbox = append(s.outbox, queuedSighting{from, sighting})
 	if s.flushAt.IsZero() {
-		s.flushAt = now.Add(gather)
+		s.flushAt = now.Add(batchDelay)
 	}
 }
 
-// flush tells each neighbour what it did not tell itself, and forgets what is old.
+// flush sends each neighbour the queued sightings that did not come from it, and removes expired entries.
 func (s *State) flush(now time.Time) {
 	for _, to := range s.neighbours {
 		var sightings []Sighting
-		for _, w := range s.outbox {
-			if w.from != to {
-				sightings = append(sightings, w.sighting)
+		for _, queued := range s.outbox {
+			if queued.from != to {
+				sightings = append(sightings, queued.sighting)
 			}
 		}
 		for len(sightings) > 0 {
-			n := min(len(sightings), mostTold)
-			s.effects = append(s.effects, Send{To: to, Sightings: sightings[:n]})
+			n := min(len(sightings), maxBatch)
+			s.effects = append(s.effects, SendSightings{To: to, Sightings: sightings[:n]})
 			sightings = sightings[n:]
 		}
 	}
 	s.outbox, s.flushAt = nil, time.Time{}
-	if now.Sub(s.tidiedAt) >= tidyEvery {
-		s.tidiedAt = now
-		s.forget(now)
+	if now.Sub(s.cleanedAt) >= cleanupInterval {
+		s.cleanedAt = now
+		s.removeExpired(now)
 	}
 }
 
-func (s *State) forget(now time.Time) {
-	for k, at := range s.known {
-		if now.Sub(at) > remember {
-			delete(s.known, k)
+func (s *State) removeExpired(now time.Time) {
+	for id, at := range s.seen {
+		if now.Sub(at) > dedupWindow {
+			delete(s.seen, id)
 		}
 	}
-	for what, at := range s.toldAt {
-		if now.Sub(at) > remember {
-			delete(s.toldAt, what)
+	for key, at := range s.reportedAt {
+		if now.Sub(at) > dedupWindow {
+			delete(s.reportedAt, key)
 		}
 	}
 	for upstream := range s.failures {
-		if s.witnesses(now, upstream) == 0 {
+		if s.recentWitnesses(now, upstream) == 0 {
 			delete(s.failures, upstream)
 		}
 	}
--- a/decide/placement/heard.go
+++ b/decide/placement/heard.go
@@ -19,9 +19,9 @@
 		e.breaker.Failed(now)
 	case gossip.KindUnreachable:
 		e.breaker.Open(now)
-	case gossip.KindGone:
+	case gossip.KindReplaced:
 		e.goneUntil = now.Add(goneFor)
-	case gossip.KindWell:
+	case gossip.KindHealthy:
 		e.breaker.Succeeded()
 	default: // says nothing of the way to it
 	}
--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -30,7 +30,7 @@
 			s.FirstToken(now, "u0", time.Millisecond, 0)
 			s.Ended(now, "u0", placement.OutcomeDone, true)
 		},
-		"another node finds it well":                    func(s *placement.State) { s.Heard(now, "u0", gossip.KindWell) },
+		"another node finds it well":                    func(s *placement.State) { s.Heard(now, "u0", gossip.KindHealthy) },
 		"its entry comes again":                         func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{listed("u0")}) },
 		"its entry lapses and comes again":              func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{listed("u0")}) },
 		"it names a limit":                              func(s *placement.State) { s.SetLimit("u0", limit) },
--- a/decide/placement/pushback_world_test.go
+++ b/decide/placement/pushback_world_test.go
@@ -180,7 +180,7 @@
 			w.nodes[w.rng.IntN(len(w.nodes))] = w.newNode()
 		}
 	case 3: // other nodes tell what they saw of it
-		kind := []gossip.Kind{gossip.KindWell, gossip.KindLost, gossip.KindUnreachable}[w.rng.IntN(3)]
+		kind := []gossip.Kind{gossip.KindHealthy, gossip.KindLost, gossip.KindUnreachable}[w.rng.IntN(3)]
 		for _, n := range w.nodes {
 			n.state.Heard(w.now, u.row.ID, kind)
 		}
--- a/decide/placement/reborn_test.go
+++ b/decide/placement/reborn_test.go
@@ -30,7 +30,7 @@
 			s.Sent(now, "u")
 			s.Ended(now, "u", placement.OutcomeGone, false)
 		},
-		"a node told that another has its address": func(s *placement.State) { s.Heard(now, "u", gossip.KindGone) },
+		"a node told that another has its address": func(s *placement.State) { s.Heard(now, "u", gossip.KindReplaced) },
 		"it could not be reached":                  func(s *placement.State) { s.Heard(now, "u", gossip.KindUnreachable) },
 	}
 	returns := map[string]func(s *placement.State){
@@ -72,7 +72,7 @@
 	u := vaneyoke.Upstream{ID: "u", Kind: need.Kind, Service: "lm", State: vaneyoke.StateLive, URL: "http://x", Incarnation: 6}
 	s := placement.New("a", retry.DefaultBreakerConfig())
 	s.SetUpstreams([]vaneyoke.Upstream{u})
-	s.Heard(now, "u", gossip.KindGone)
+	s.Heard(now, "u", gossip.KindReplaced)
 	must.False(t, s.TakesWork(now, "u"))
 	must.True(t, s.TakesWork(now.Add(6*time.Second), "u"))
 }
--- a/decide/quarantine/links_test.go
+++ b/decide/quarantine/links_test.go
@@ -60,7 +60,7 @@
 		for child := place*fanOut + 1; child <= place*fanOut+fanOut && child < len(in); child++ {
 			neighbours = append(neighbours, vm(in[child]))
 		}
-		w.nodes[i].gossip.Handle(w.now, gossip.Neighbours{VMs: neighbours})
+		w.nodes[i].gossip.Handle(w.now, gossip.NeighboursUpdated{VMs: neighbours})
 	}
 	w.treeAt = time.Time{}
 }
@@ -72,9 +72,9 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case quarantine.Tell:
-			w.gossip(i, gossip.Seen{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.Again}})
+			w.gossip(i, gossip.Observed{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.Again}})
 		case quarantine.TellSurvived:
-			w.gossip(i, gossip.Seen{Kind: gossip.KindSurvived, Run: gossip.Run{Content: e.Content}})
+			w.gossip(i, gossip.Observed{Kind: gossip.KindSurvived, Run: gossip.Run{Content: e.Content}})
 		case quarantine.Write:
 			w.callStore(i, func() { w.write(e.Row) })
 		case quarantine.Remove:
@@ -109,16 +109,16 @@
 	n := w.nodes[i]
 	for _, effect := range slices.Clone(n.gossip.Handle(w.now, ev)) {
 		switch e := effect.(type) {
-		case gossip.Believe:
+		case gossip.ApplySighting:
 			if e.Sighting.Kind == gossip.KindSurvived {
 				w.handle(i, quarantine.HeardSurvived{Content: e.Sighting.Content})
 				continue
 			}
 			w.handle(i, quarantine.Heard{
 				Content: e.Sighting.Content, By: e.Sighting.Origin, Next: e.Sighting.Hops == 1,
-				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, Again: e.Sighting.Again},
+				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, Again: e.Sighting.PriorCrashes},
 			})
-		case gossip.Send:
+		case gossip.SendSightings:
 			n.told++
 			w.datagrams++
 			w.busiest = max(w.busiest, n.told)
--- a/decide/quarantine/world_test.go
+++ b/decide/quarantine/world_test.go
@@ -183,7 +183,7 @@
 		if !w.runs(i) {
 			continue
 		}
-		if at := n.gossip.Next(); !at.IsZero() && !w.now.Before(at) {
+		if at := n.gossip.NextTick(); !at.IsZero() && !w.now.Before(at) {
 			w.gossip(i, gossip.Tick{})
 		}
 		if at := n.state.Next(); !at.IsZero() && !w.now.Before(at) {
@@ -204,7 +204,7 @@
 		case l.at.After(w.now), w.now.Before(n.frozen): // what came meanwhile is read when it wakes
 			w.flying = append(w.flying, l)
 		case w.runs(l.to) && !n.cut && !w.nodes[l.from].cut:
-			w.gossip(l.to, gossip.Told{From: vm(l.from), Sightings: l.sightings})
+			w.gossip(l.to, gossip.SightingsReceived{From: vm(l.from), Sightings: l.sightings})
 		}
 	}
 }
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -32,7 +32,7 @@
 
 // heard takes in what another node saw: of an upstream, or of what a request did to one.
 func (b *gatewayPlacer) heard(s gossip.Sighting) {
-	if s.Kind.OfRun() {
+	if s.Kind.AboutContent() {
 		b.crashes.Heard(s)
 		return
 	}
@@ -74,7 +74,7 @@
 // FirstToken notes that an attempt's first token came after a while.
 func (b *gatewayPlacer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
 	b.Balancer.FirstToken(id, took, promptBytes)
-	b.gossip.Seen(id, gossip.KindWell)
+	b.gossip.Seen(id, gossip.KindHealthy)
 }
 
 // Ended notes how an attempt came out, and tells the other nodes where that says something of the upstream.
@@ -82,13 +82,13 @@
 	b.Balancer.Ended(id, outcome, begun)
 	switch outcome {
 	case placement.OutcomeDone:
-		b.gossip.Seen(id, gossip.KindWell)
+		b.gossip.Seen(id, gossip.KindHealthy)
 	case placement.OutcomeLost:
 		b.gossip.Seen(id, gossip.KindLost)
 	case placement.OutcomeUnreachable:
 		b.gossip.Seen(id, gossip.KindUnreachable)
 	case placement.OutcomeGone:
-		b.gossip.Seen(id, gossip.KindGone)
+		b.gossip.Seen(id, gossip.KindReplaced)
 	default: // says nothing of the way to it
 	}
 }
--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -135,7 +135,7 @@
 	config.Small = config.Small.BackWithin(s.Gateway.BackWithin)
 	config.Reader = config.Reader.BackWithin(s.Gateway.BackWithin)
 	if s.Gateway.Peers == "" {
-		config.Feed.First, config.Feed.Choices = 0, 0 // it follows nobody
+		config.Feed.MemberWait, config.Feed.MaxCandidates = 0, 0 // it follows nobody
 	}
 	members := platform.NewMembers(client, s.Gateway.Store)
 	moves := do.MustInvoke[*rolloutTables](i)
@@ -159,10 +159,10 @@
 		tables["rollouts"] = mesh.Table{Source: platform.NewRollouts(client, s.Gateway.Store), MayLag: true, Apply: moves.setRecords}
 	}
 	hub := mesh.NewHub(tables)
-	self := feed.Member{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre), Address: s.Gateway.Peers, Bandwidth: s.Node.Bandwidth, Speaks: feed.DialectOwn}
+	self := feed.Member{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre), Address: s.Gateway.Peers, Bandwidth: s.Node.Bandwidth, Protocol: feed.ProtocolCurrent}
 	vars := do.MustInvoke[*expvar.Map](i)
 	vars.Set("build", expvar.Func(func() any { return vaneyoke.Build() }))
-	vars.Set("speaks", expvar.Func(func() any { return feed.DialectOwn }))
+	vars.Set("speaks", expvar.Func(func() any { return feed.ProtocolCurrent }))
 	node = mesh.New(self, config, hub, members, newPeerClient(), mesh.NewMetrics(vars), do.MustInvoke[logrus.FieldLogger](i))
 	vars.Set("upstreams", expvar.Func(func() any { return countUpstreams(directory.balancer.Loads()) }))
 	vars.Set("upstreams_failing", expvar.Func(func() any { return failingUpstreams(directory.balancer.Loads()) }))
--- a/process/node/limits_wire.go
+++ b/process/node/limits_wire.go
@@ -33,7 +33,7 @@
 // setMembers takes in the members of the fleet.
 func (t *limitTables) setMembers(all []feed.Member) {
 	t.node.SetMembers(lo.Map(all, func(m feed.Member, _ int) ratelimit.Member {
-		return ratelimit.Member{VM: m.VM, DataCentre: m.DataCentre, Keeps: m.Speaks >= feed.DialectLimits}
+		return ratelimit.Member{VM: m.VM, DataCentre: m.DataCentre, Keeps: m.Protocol >= feed.ProtocolLimits}
 	}))
 }
 
--- a/shell/mesh/config.go
+++ b/shell/mesh/config.go
@@ -47,7 +47,7 @@
 // store because it knows of none.
 func (c Config) AtFirstStart() Config {
 	c.FirstStart = true
-	c.Feed.First += c.FirstLook
+	c.Feed.MemberWait += c.FirstLook
 	return c
 }
 
@@ -57,8 +57,8 @@
 // InForceWithin returns the bounds of a fleet in which a change has to be in force within a time: a node that finds out that
 // the one it follows is cut off from the store has half of it left to find another way.
 func (c Config) InForceWithin(bound time.Duration) Config {
-	c.Feed.OldAge = min(c.Feed.OldAge, bound/2)
-	c.Reader.Wait = min(c.Reader.Wait, max(c.Feed.OldAge-waitMargin, c.Feed.OldAge/2))
-	c.Feed.Lead = min(c.Feed.Lead, bound/10)
+	c.Feed.StaleAfter = min(c.Feed.StaleAfter, bound/2)
+	c.Reader.Wait = min(c.Reader.Wait, max(c.Feed.StaleAfter-waitMargin, c.Feed.StaleAfter/2))
+	c.Feed.StaleGrace = min(c.Feed.StaleGrace, bound/10)
 	return c
 }
--- a/shell/mesh/datagram.go
+++ b/shell/mesh/datagram.go
@@ -34,7 +34,7 @@
 // SendLimits sends a message to a member whose build takes it.
 func (n *Node) SendLimits(to vaneyoke.VMID, m ratelimits.Message) {
 	member, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == to })
-	if !ok || member.Speaks < feed.DialectLimits {
+	if !ok || member.Protocol < feed.ProtocolLimits {
 		return
 	}
 	if len(m.Notices) == 0 {
--- a/shell/mesh/datagram_test.go
+++ b/shell/mesh/datagram_test.go
@@ -41,14 +41,14 @@
 	must.NoError(t, err)
 	f.Beat = &b
 	hub.take(now, f, p)
-	must.True(t, hub.Word(now).Known)
+	must.True(t, hub.Word(now).Complete)
 	_, held := hub.held()["spare"]
 	must.False(t, held)
 	alone := NewHub(map[string]Table{"t": {Apply: ignore}, "spare": {Apply: ignore, MayLag: true, Spare: true}})
 	set(alone, now, "t", watch.Rows{}, 5, now)
-	must.False(t, alone.Word(now).Known) // who reads the store itself waits for all tables
+	must.False(t, alone.Word(now).Complete) // who reads the store itself waits for all tables
 	set(alone, now, "spare", watch.Rows{}, 6, now)
-	must.True(t, alone.Word(now).Known)
+	must.True(t, alone.Word(now).Complete)
 	_, _, known := hub.Held("spare")
 	must.False(t, known)
 }
@@ -65,7 +65,7 @@
 	n := bareNode()
 	n.datagrams.Store(&own)
 	n.SetMembers([]feed.Member{
-		{VM: "takes", Address: takes.LocalAddr().String(), Speaks: feed.DialectLimits}, {VM: "earlier", Address: earlier.LocalAddr().String()},
+		{VM: "takes", Address: takes.LocalAddr().String(), Protocol: feed.ProtocolLimits}, {VM: "earlier", Address: earlier.LocalAddr().String()},
 	})
 	for _, vm := range []vaneyoke.VMID{"takes", "earlier", "unknown"} {
 		n.SendLimits(vm, ratelimits.Message{By: "self"})
@@ -89,21 +89,21 @@
 	own, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = own.Close() })
-	for speaks, want := range map[feed.Dialect]string{feed.DialectFirst: "lost", feed.DialectOwn: "lost crash survived"} {
+	for speaks, want := range map[feed.ProtocolVersion]string{feed.ProtocolInitial: "lost", feed.ProtocolCurrent: "lost crash survived"} {
 		to, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = to.Close() })
 		n := bareNode()
 		n.datagrams.Store(&own)
-		n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Speaks: feed.DialectOwn}}) // the row may be of a later build
+		n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Protocol: feed.ProtocolCurrent}}) // the row may be of a later build
 		defer n.neighbours.met("to", speaks)()
-		n.tellSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindCrash}}}) // not even an empty one, to the first
-		n.tellSightings(gossip.Send{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindLost}, {Kind: gossip.KindCrash}, {Kind: gossip.KindSurvived}}})
+		n.tellSightings(gossip.SendSightings{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindCrash}}}) // not even an empty one, to the first
+		n.tellSightings(gossip.SendSightings{To: "to", Sightings: []gossip.Sighting{{Kind: gossip.KindLost}, {Kind: gossip.KindCrash}, {Kind: gossip.KindSurvived}}})
 		buffer := make([]byte, maxOfferBytes)
 		must.NoError(t, to.SetReadDeadline(time.Now().Add(20*time.Second)))
 		size, _, err := to.ReadFrom(buffer)
 		must.NoError(t, err)
-		if speaks != feed.DialectFirst {
+		if speaks != feed.ProtocolInitial {
 			size, _, err = to.ReadFrom(buffer)
 			must.NoError(t, err)
 		}
--- a/shell/mesh/dialect.go
+++ b/shell/mesh/dialect.go
@@ -15,36 +15,36 @@
 const dialectHeader = "Vaneyoke-Dialect"
 
 // dialectOf returns what a message's headers tell; a number that is none stands for the first.
-func dialectOf(header http.Header) feed.Dialect {
+func dialectOf(header http.Header) feed.ProtocolVersion {
 	number, err := strconv.Atoi(header.Get(dialectHeader))
 	if err != nil || number < 0 {
-		return feed.DialectFirst
+		return feed.ProtocolInitial
 	}
-	return feed.Dialect(number)
+	return feed.ProtocolVersion(number)
 }
 
 func setDialect(header http.Header) {
-	header.Set(dialectHeader, strconv.Itoa(int(feed.DialectOwn)))
+	header.Set(dialectHeader, strconv.Itoa(int(feed.ProtocolCurrent)))
 }
 
 // neighbours knows what the builds of the nodes understand that this one follows, or that follow it, by their open connections.
 type neighbours struct {
 	mu     sync.Mutex
-	speaks map[vaneyoke.VMID][]feed.Dialect // of each connection
+	speaks map[vaneyoke.VMID][]feed.ProtocolVersion // of each connection
 }
 
 // met notes a connection with a node; end is called when it has ended.
-func (n *neighbours) met(vm vaneyoke.VMID, dialect feed.Dialect) (end func()) {
+func (n *neighbours) met(vm vaneyoke.VMID, dialect feed.ProtocolVersion) (end func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.speaks == nil {
-		n.speaks = map[vaneyoke.VMID][]feed.Dialect{}
+		n.speaks = map[vaneyoke.VMID][]feed.ProtocolVersion{}
 	}
 	n.speaks[vm] = append(n.speaks[vm], dialect)
 	return func() { n.parted(vm, dialect) }
 }
 
-func (n *neighbours) parted(vm vaneyoke.VMID, dialect feed.Dialect) {
+func (n *neighbours) parted(vm vaneyoke.VMID, dialect feed.ProtocolVersion) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	i := slices.Index(n.speaks[vm], dialect)
@@ -54,11 +54,11 @@
 }
 
 // dialect returns what a node's build understands, the first where there is no connection that tells.
-func (n *neighbours) dialect(vm vaneyoke.VMID) feed.Dialect {
+func (n *neighbours) dialect(vm vaneyoke.VMID) feed.ProtocolVersion {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.speaks[vm]) == 0 {
-		return feed.DialectFirst
+		return feed.ProtocolInitial
 	}
 	return slices.Min(n.speaks[vm])
 }
--- a/shell/mesh/first_start_test.go
+++ b/shell/mesh/first_start_test.go
@@ -13,5 +13,5 @@
 	usual := mesh.DefaultConfig()
 	first := usual.AtFirstStart()
 	must.True(t, first.FirstStart)
-	must.EqOp(t, usual.Feed.First, first.Feed.First-first.FirstLook)
+	must.EqOp(t, usual.Feed.MemberWait, first.Feed.MemberWait-first.FirstLook)
 }
--- a/shell/mesh/fit_test.go
+++ b/shell/mesh/fit_test.go
@@ -29,14 +29,14 @@
 	t.Cleanup(func() { _ = to.Close() })
 	n := bareNode()
 	n.datagrams.Store(&own)
-	n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Speaks: feed.DialectOwn}})
-	defer n.neighbours.met("to", feed.DialectOwn)()
+	n.SetMembers([]feed.Member{{VM: "to", Address: to.LocalAddr().String(), Protocol: feed.ProtocolCurrent}})
+	defer n.neighbours.met("to", feed.ProtocolCurrent)()
 	const crashes, limits = 16, 10
 	var all []gossip.Sighting
 	for i := range crashes {
 		all = append(all, gossip.Sighting{
-			Origin: "edge-loughborough-hall-1043", Number: uint64(1_000_000_000 + i), Upstream: "i-7f3a91c2b4d5e6f7", Kind: gossip.KindCrash, Hops: 10,
-			Run: gossip.Run{Content: vaneyoke.ContentID(strings.Repeat("a", 24)), Incarnation: 1796260312802, Again: 3},
+			Origin: "edge-loughborough-hall-1043", Sequence: uint64(1_000_000_000 + i), Upstream: "i-7f3a91c2b4d5e6f7", Kind: gossip.KindCrash, Hops: 10,
+			Run: gossip.Run{Content: vaneyoke.ContentID(strings.Repeat("a", 24)), Incarnation: 1796260312802, PriorCrashes: 3},
 		})
 	}
 	var notices []ratelimit.Notice
@@ -48,7 +48,7 @@
 	other.self.VM = "other"
 	NewGossip(other, func(gossip.Sighting) { heard++ })
 	other.OnLimits(func(m ratelimits.Message) { named += len(m.Notices) })
-	n.tellSightings(gossip.Send{To: "to", Sightings: all})
+	n.tellSightings(gossip.SendSightings{To: "to", Sightings: all})
 	n.SendLimits("to", ratelimits.Message{By: "self", Notices: notices})
 	buffer := make([]byte, maxOfferBytes)
 	for (heard < crashes || named < limits) && !t.Failed() {
--- a/shell/mesh/follow.go
+++ b/shell/mesh/follow.go
@@ -29,7 +29,7 @@
 		return
 	}
 	n.log.WithFields(logrus.Fields{"peer": m.VM, "relied": relied, "error": err}).Info("peer_lost")
-	n.post(ctx, feed.Lost{From: m.VM})
+	n.post(ctx, feed.SourceLost{From: m.VM})
 }
 
 // follow takes in what a member tells; relied says whether its tables ever were not old.
@@ -82,8 +82,8 @@
 		if f.Beat == nil {
 			continue
 		}
-		relied = relied || f.Beat.Known && f.Beat.word().Age <= n.config.Feed.OldAge
-		n.post(ctx, feed.Told{From: m.VM, Word: f.Beat.word()})
+		relied = relied || f.Beat.Known && f.Beat.word().Age <= n.config.Feed.StaleAfter
+		n.post(ctx, feed.StatusReceived{From: m.VM, Status: f.Beat.word()})
 	}
 }
 
@@ -95,7 +95,7 @@
 	b, err := n.askAge(ctx, m)
 	n.log.WithFields(logrus.Fields{"peer": m.VM, "age_ms": b.AgeMs, "known": b.Known, "reader": b.Reader, "error": err}).Info("peer_asked")
 	if err == nil {
-		n.post(ctx, feed.Answered{From: m, Word: b.word()})
+		n.post(ctx, feed.QueryAnswered{From: m, Status: b.word()})
 	}
 }
 
--- a/shell/mesh/frame.go
+++ b/shell/mesh/frame.go
@@ -28,17 +28,17 @@
 }
 
 // beatOf returns the beat that says a word.
-func beatOf(w feed.Word) beat {
-	return beat{AgeMs: w.Age.Milliseconds(), Known: w.Known, Reader: w.Reader}
+func beatOf(w feed.TableStatus) beat {
+	return beat{AgeMs: w.Age.Milliseconds(), Known: w.Complete, Reader: w.Reader}
 }
 
 // longestAge is the longest age that a beat tells.
 const longestAge = 24 * time.Hour
 
 // word returns what a beat says, as far as it can be true.
-func (b beat) word() feed.Word {
+func (b beat) word() feed.TableStatus {
 	age := min(max(b.AgeMs, 0), longestAge.Milliseconds())
-	return feed.Word{Age: time.Duration(age) * time.Millisecond, Known: b.Known, Reader: b.Reader}
+	return feed.TableStatus{Age: time.Duration(age) * time.Millisecond, Complete: b.Known, Reader: b.Reader}
 }
 
 // tableUpdate leads from an earlier version of a table to a later one.
--- a/shell/mesh/fuzz_test.go
+++ b/shell/mesh/fuzz_test.go
@@ -37,8 +37,8 @@
 		`{"o":"vm-2","n":4,"u":"u1","k":7},{"o":"vm-2","n":5,"u":"u1","k":1,"h":-9},{"o":"vm-2","n":6,"u":"u1","k":1,"later":{"a":1}}],"later":[1]}`))
 	must.Len(t, 1, believed)
 	must.EqOp(t, gossip.KindLost, believed[0].Kind)
-	must.EqOp(t, 6, believed[0].Number)
-	g.handle(gossip.Neighbours{})
+	must.EqOp(t, 6, believed[0].Sequence)
+	g.handle(gossip.NeighboursUpdated{})
 }
 
 // FuzzDatagrams takes in any datagram.
--- a/shell/mesh/gossip.go
+++ b/shell/mesh/gossip.go
@@ -41,33 +41,33 @@
 
 // Seen tells the others what this node saw of an upstream.
 func (g *Gossip) Seen(upstream vaneyoke.UpstreamID, kind gossip.Kind) {
-	g.handle(gossip.Seen{Upstream: upstream, Kind: kind})
+	g.handle(gossip.Observed{Upstream: upstream, Kind: kind})
 }
 
 // SeenRun tells the others what a request did to an upstream.
 func (g *Gossip) SeenRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run) {
-	g.handle(gossip.Seen{Upstream: upstream, Kind: kind, Run: run})
+	g.handle(gossip.Observed{Upstream: upstream, Kind: kind, Run: run})
 }
 
 func (g *Gossip) handle(event gossip.Event) {
 	var believed []gossip.Sighting
-	var sends []gossip.Send
+	var sends []gossip.SendSightings
 	g.mu.Lock()
 	for _, effect := range g.state.Handle(time.Now(), event) {
 		switch e := effect.(type) {
-		case gossip.Believe:
+		case gossip.ApplySighting:
 			believed = append(believed, e.Sighting)
-		case gossip.Send:
+		case gossip.SendSightings:
 			sends = append(sends, e)
 		}
 	}
-	if at := g.state.Next(); !at.IsZero() {
+	if at := g.state.NextTick(); !at.IsZero() {
 		g.timer.Reset(time.Until(at))
 	}
 	g.mu.Unlock()
 	for _, s := range believed {
 		g.node.metrics.heard()
-		if !s.Kind.OfRun() {
+		if !s.Kind.AboutContent() {
 			g.node.logHeard(s)
 		}
 		g.believe(s)
@@ -89,13 +89,13 @@
 
 // tellSightings tells a neighbour. One whose build does not tell what it understands may be of the first that had gossip, which ends
 // where it hears of what requests did.
-func (n *Node) tellSightings(s gossip.Send) {
+func (n *Node) tellSightings(s gossip.SendSightings) {
 	to, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == s.To })
 	if !ok {
 		return
 	}
-	bears := n.neighbours.dialect(s.To) >= feed.DialectLimits
-	told := lo.Filter(s.Sightings, func(s gossip.Sighting, _ int) bool { return bears || !s.Kind.OfRun() })
+	bears := n.neighbours.dialect(s.To) >= feed.ProtocolLimits
+	told := lo.Filter(s.Sightings, func(s gossip.Sighting, _ int) bool { return bears || !s.Kind.AboutContent() })
 	if len(told) == 0 {
 		return
 	}
@@ -110,7 +110,7 @@
 		return false
 	}
 	if g != nil && s.By != n.self.VM {
-		g.handle(gossip.Told{From: s.By, Sightings: s.All})
+		g.handle(gossip.SightingsReceived{From: s.By, Sightings: s.All})
 	}
 	return true
 }
@@ -122,7 +122,7 @@
 		neighbours = append(neighbours, source.VM)
 	}
 	if g := n.gossip.Load(); g != nil {
-		g.handle(gossip.Neighbours{VMs: neighbours})
+		g.handle(gossip.NeighboursUpdated{VMs: neighbours})
 	}
 	if n.takeNeighbours != nil {
 		n.takeNeighbours(neighbours)
--- a/shell/mesh/hub.go
+++ b/shell/mesh/hub.go
@@ -113,17 +113,17 @@
 
 // Word returns how long ago the store confirmed the table that was confirmed the longest ago, of those that may not lag; it
 // knows nothing where a table holds nothing yet.
-func (h *Hub) Word(now time.Time) feed.Word {
+func (h *Hub) Word(now time.Time) feed.TableStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.wordLocked(now)
 }
 
-func (h *Hub) wordLocked(now time.Time) feed.Word {
-	word := feed.Word{Known: true, Reader: h.reader}
+func (h *Hub) wordLocked(now time.Time) feed.TableStatus {
+	word := feed.TableStatus{Complete: true, Reader: h.reader}
 	for _, t := range h.tables {
 		if t.rows == nil && !t.lacking {
-			return feed.Word{}
+			return feed.TableStatus{}
 		}
 		if !t.MayLag {
 			word.Age = max(word.Age, now.Sub(t.confirmed))
--- a/shell/mesh/hub_test.go
+++ b/shell/mesh/hub_test.go
@@ -22,7 +22,7 @@
 func TestHubNeverGoesBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	hub, got := recorder()
-	ok := hub.Word(now).Known
+	ok := hub.Word(now).Complete
 	must.False(t, ok)
 	set(hub, now, "t", watch.Rows{"a": row("new", 5)}, 5, now)
 	set(hub, now, "t", watch.Rows{"a": row("old", 3)}, 4, now.Add(time.Second))
@@ -30,7 +30,7 @@
 	set(hub, now, "none", watch.Rows{}, 9, now)
 	hub.Confirm("t", 4, now.Add(time.Second), "reader") // of an older version
 	word := hub.Word(now.Add(2 * time.Second))
-	age, ok := word.Age, word.Known
+	age, ok := word.Age, word.Complete
 	must.True(t, ok)
 	must.EqOp(t, 2*time.Second, age)
 	hub.Confirm("t", 7, now.Add(time.Second), "reader")
@@ -50,11 +50,11 @@
 	ignore := func(time.Time, watch.Rows) {}
 	hub := NewHub(map[string]Table{"strict": {Apply: ignore}, "lagging": {Apply: ignore, MayLag: true}})
 	set(hub, now, "lagging", watch.Rows{}, 1, now)
-	ok := hub.Word(now).Known
+	ok := hub.Word(now).Complete
 	must.False(t, ok) // the other one holds nothing yet
 	set(hub, now, "strict", watch.Rows{}, 2, now.Add(time.Minute))
 	word := hub.Word(now.Add(time.Minute + time.Second))
-	age, ok := word.Age, word.Known
+	age, ok := word.Age, word.Complete
 	must.True(t, ok)
 	must.EqOp(t, time.Second, age)
 }
--- a/shell/mesh/node.go
+++ b/shell/mesh/node.go
@@ -173,14 +173,14 @@
 	defer timer.Stop()
 	for {
 		now := steady.Now()
-		timer.Reset(r.state.Next(now).Sub(now))
+		timer.Reset(r.state.NextTick(now).Sub(now))
 		select {
 		case <-ctx.Done():
 			return
 		case event := <-r.events:
 			r.handle(ctx, event)
 		case <-r.changed:
-			r.handle(ctx, feed.Members{All: r.registeredMembers()})
+			r.handle(ctx, feed.MembersUpdated{Members: r.registeredMembers()})
 			r.stayRegistered(ctx)
 		case <-timer.C:
 			r.handle(ctx, feed.Tick{})
@@ -214,9 +214,9 @@
 func (r *runner) note(now time.Time) {
 	fresh := r.state.Fresh(now)
 	source, _ := r.state.Source()
-	word := r.state.Word(now)
+	word := r.state.Status(now)
 	r.metrics.takesPart(Part{
-		Source: source.VM, Followers: r.state.Followers(), Reading: r.state.Reading().String(), Fresh: fresh,
+		Source: source.VM, Followers: r.state.FollowerCount(), Reading: r.state.ReadMode().String(), Fresh: fresh,
 		Reader: word.Reader, AgeMs: word.Age.Milliseconds(),
 	})
 	if fresh == r.fresh {
@@ -238,21 +238,21 @@
 		following, cancel := context.WithCancel(ctx)
 		r.unfollow = cancel
 		r.work.Go(func() { r.followUntilLost(following, e.Member) })
-	case feed.Leave:
+	case feed.Unfollow:
 		r.unfollow()
-	case feed.Read:
+	case feed.SetReadMode:
 		r.unread()
 		reading, cancel := context.WithCancel(ctx)
 		r.unread = cancel
-		if e.Reading == feed.ReadNothing {
+		if e.Mode == feed.ReadNothing {
 			r.log.Info("leaves_store")
 		} else {
-			r.log.WithFields(logrus.Fields{"reading": e.Reading.String(), "members": r.Members()}).Info("reads_store")
+			r.log.WithFields(logrus.Fields{"reading": e.Mode.String(), "members": r.Members()}).Info("reads_store")
 		}
-		r.read(reading, e.Reading)
-	case feed.Ask:
+		r.read(reading, e.Mode)
+	case feed.QueryStatus:
 		r.work.Go(func() { r.ask(ctx, e.Member) })
-	case feed.Offer:
+	case feed.SendOffers:
 		r.offer(e.To)
 	}
 }
--- a/shell/mesh/node_test.go
+++ b/shell/mesh/node_test.go
@@ -85,8 +85,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	config := DefaultConfig()
-	config.Settle, config.Feed.First, config.Feed.Lead, config.Feed.Retry = 20*time.Millisecond, 0, 20*time.Millisecond, 100*time.Millisecond
-	config.Feed.Return, config.Feed.Offer = 200*time.Millisecond, 50*time.Millisecond
+	config.Settle, config.Feed.MemberWait, config.Feed.StaleGrace, config.Feed.RetryInterval = 20*time.Millisecond, 0, 20*time.Millisecond, 100*time.Millisecond
+	config.Feed.FailbackInterval, config.Feed.OfferInterval = 200*time.Millisecond, 50*time.Millisecond
 	config.Reader.Wait, config.Reader.Slack, config.Reader.Gather = 40*time.Millisecond, 40*time.Millisecond, 0
 	change(&config)
 	peers := make([]*peer, count)
@@ -251,7 +251,7 @@
 // TestNextReaderGoesOnFromWhatItHolds loses the reader while all can be asked: only the next one in rank reads the store,
 // and just what has changed since.
 func TestNextReaderGoesOnFromWhatItHolds(t *testing.T) {
-	peers := startMeshWith(t, 5, func(c *Config) { c.Feed.First, c.Feed.Lead = time.Hour, time.Hour })
+	peers := startMeshWith(t, 5, func(c *Config) { c.Feed.MemberWait, c.Feed.StaleGrace = time.Hour, time.Hour })
 	until(t, allAt(peers, 1))
 	reader := readerOf(peers)
 	rest := without(peers, reader)
@@ -296,8 +296,8 @@
 // as one of a small fleet may: those that follow it would take its tables for old.
 func TestTimesOfANewFleet(t *testing.T) {
 	n := New(feed.Member{VM: "vm-0", DataCentre: "a"}, DefaultConfig(), NewHub(nil), &source{}, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), logrus.New())
-	must.Less(t, n.config.Feed.OldAge, n.config.Reader.Wait)
-	must.Greater(t, n.config.Feed.OldAge, n.config.Small.Wait)
+	must.Less(t, n.config.Feed.StaleAfter, n.config.Reader.Wait)
+	must.Greater(t, n.config.Feed.StaleAfter, n.config.Small.Wait)
 	must.EqOp(t, n.config.Reader.Wait, n.times().Wait)
 	n.settled.Store(true)
 	must.EqOp(t, n.config.Small.Wait, n.times().Wait)
@@ -310,8 +310,8 @@
 func TestTimesLeaveRoomWithinTheBound(t *testing.T) {
 	for _, bound := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Minute} {
 		config := DefaultConfig().InForceWithin(bound)
-		must.Greater(t, config.Reader.Wait, config.Feed.OldAge, must.Sprint(bound))
-		must.LessEq(t, bound*2/3, config.Feed.OldAge+config.Feed.Lead, must.Sprint(bound))
+		must.Greater(t, config.Reader.Wait, config.Feed.StaleAfter, must.Sprint(bound))
+		must.LessEq(t, bound*2/3, config.Feed.StaleAfter+config.Feed.StaleGrace, must.Sprint(bound))
 	}
 	must.Eq(t, DefaultConfig(), DefaultConfig().InForceWithin(3*time.Second))
 }
--- a/shell/mesh/offer.go
+++ b/shell/mesh/offer.go
@@ -82,8 +82,8 @@
 
 // takeOffer takes in an offer; the log holds those that say something to a node whose own tables are missing or old.
 func (n *Node) takeOffer(ctx context.Context, o offer) {
-	if own := n.hub.Word(steady.Now()); !own.Known {
+	if own := n.hub.Word(steady.Now()); !own.Complete {
 		n.log.WithFields(logrus.Fields{"peer": o.From.VM, "age_ms": o.Beat.AgeMs, "reader": o.Beat.Reader}).Info("tables_offered")
 	}
-	n.post(ctx, feed.Offered{From: o.From, Word: o.Beat.word()})
+	n.post(ctx, feed.OfferReceived{From: o.From, Status: o.Beat.word()})
 }
--- a/shell/mesh/read.go
+++ b/shell/mesh/read.go
@@ -11,7 +11,7 @@
 )
 
 // read follows the store's tables until ctx ends.
-func (r *runner) read(ctx context.Context, reading feed.Reading) {
+func (r *runner) read(ctx context.Context, reading feed.ReadMode) {
 	turns := watch.NewTurns()
 	for name := range r.hub.tables {
 		if reading == feed.ReadNothing || reading == feed.ReadMembers && name != r.config.Members {
@@ -27,12 +27,12 @@
 }
 
 // waitsForOthers reports whether the node waits for the others of a system that starts for the first time to register themselves.
-func (n *Node) waitsForOthers(reading feed.Reading) bool {
+func (n *Node) waitsForOthers(reading feed.ReadMode) bool {
 	return n.config.FirstStart && reading == feed.ReadMembers && n.registeredMembers() == nil
 }
 
 // follower returns a follower of one of the store's tables, which goes on from what the hub holds.
-func (n *Node) follower(ctx context.Context, name string, reading feed.Reading, turns *watch.Turns) *watch.Follower {
+func (n *Node) follower(ctx context.Context, name string, reading feed.ReadMode, turns *watch.Turns) *watch.Follower {
 	t := n.hub.tables[name]
 	times := func() watch.Config {
 		config := n.times()
@@ -108,5 +108,5 @@
 // Confirm notes that the rows have not changed.
 func (s *sink) Confirm(now time.Time, version watch.Version) {
 	s.node.hub.Confirm(s.table, version, now, s.node.self.VM)
-	s.node.post(s.ctx, feed.StoreRead{Word: s.node.hub.Word(now)})
+	s.node.post(s.ctx, feed.StoreRead{Status: s.node.hub.Word(now)})
 }
--- a/shell/mesh/suspect_test.go
+++ b/shell/mesh/suspect_test.go
@@ -34,8 +34,8 @@
 		set(hub, time.Now(), "members", watch.Rows{"there": row("x", 3), "gone": row("x", 4), "self": row("x", 5), "earlier": row("x", 7), "always": row("x", 8)}, 9, time.Now())
 		n := New(feed.Member{VM: "self"}, DefaultConfig(), hub, registry, http.DefaultClient, NewMetrics(new(expvar.Map).Init()), log)
 		n.SetMembers([]feed.Member{
-			{VM: "self"}, {VM: "there", Address: there.Listener.Addr().String(), Speaks: feed.DialectOwn}, {VM: "gone", Address: gone.Addr().String()},
-			{VM: "earlier", Address: earlier.Listener.Addr().String(), Speaks: feed.DialectOwn}, {VM: "always", Address: earlier.Listener.Addr().String()},
+			{VM: "self"}, {VM: "there", Address: there.Listener.Addr().String(), Protocol: feed.ProtocolCurrent}, {VM: "gone", Address: gone.Addr().String()},
+			{VM: "earlier", Address: earlier.Listener.Addr().String(), Protocol: feed.ProtocolCurrent}, {VM: "always", Address: earlier.Listener.Addr().String()},
 		})
 		n.metrics.takesPart(Part{Fresh: fresh})
 		for _, vm := range []vaneyoke.VMID{"there", "gone", "self", "unknown", "earlier", "always"} {
@@ -73,7 +73,7 @@
 	until(t, allAt(peers, 1))
 	known := func(p *peer) (n int) {
 		for _, other := range peers {
-			if p.neighbours.dialect(other.self.VM) == feed.DialectOwn {
+			if p.neighbours.dialect(other.self.VM) == feed.ProtocolCurrent {
 				n++
 			}
 		}
--- a/shell/mesh/tell.go
+++ b/shell/mesh/tell.go
@@ -28,8 +28,8 @@
 	before := toldOf(r.URL.Query())
 	if by := vaneyoke.VMID(followerOf(r.URL.Query())); by != "" {
 		defer n.neighbours.met(by, dialectOf(r.Header))()
-		n.post(r.Context(), feed.Followed{By: by})
-		defer n.post(context.WithoutCancel(r.Context()), feed.Unfollowed{By: by})
+		n.post(r.Context(), feed.FollowerAdded{VM: by})
+		defer n.post(context.WithoutCancel(r.Context()), feed.FollowerRemoved{VM: by})
 	}
 	ticker := time.NewTicker(n.config.Beat)
 	defer ticker.Stop()
--- a/shell/mesh/tidy.go
+++ b/shell/mesh/tidy.go
@@ -94,7 +94,7 @@
 		return false
 	}
 	_ = res.Body.Close()
-	return dialectOf(res.Header) < m.Speaks
+	return dialectOf(res.Header) < m.Protocol
 }
 
 // takeOff removes a member's entry where it is still the one that is known.
--- a/shell/quarantines/node.go
+++ b/shell/quarantines/node.go
@@ -129,7 +129,7 @@
 	n.metrics.counts.Add("crashes_heard_total", 1)
 	n.handle(quarantine.Heard{
 		Content: s.Content, By: s.Origin, Next: s.Hops == 1,
-		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, Again: s.Again},
+		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, Again: s.PriorCrashes},
 	})
 }
 
@@ -169,7 +169,7 @@
 		n.log.WithFields(logrus.Fields{
 			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.Again,
 		}).Info("crash_told")
-		n.teller.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, Again: e.Crash.Again})
+		n.teller.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.Again})
 	case quarantine.Dismiss:
 		n.metrics.counts.Add("crashes_dismissed_total", 1)
 		n.log.WithFields(logrus.Fields{
