--- a/decide/gossip/fleet_test.go
+++ b/decide/gossip/fleet_test.go
@@ -68,7 +68,7 @@
 	for _, effect := range m.gossip.Handle(f.now, ev) {
 		switch e := effect.(type) {
 		case gossip.ApplySighting:
-			m.placer.Heard(f.now, e.Sighting.Upstream, e.Sighting.Kind)
+			m.placer.RecordGossip(f.now, e.Sighting.Upstream, e.Sighting.Kind)
 		case gossip.SendSightings:
 			f.send(i, e)
 		}
