--- a/process/node/wire.go
+++ b/process/node/wire.go
@@ -129,7 +129,7 @@
 		log,
 		relayConfig(s),
 	)
-	crashes.OnBlock(r.Bar)
+	crashes.OnBlock(r.Quarantine)
 	return r, nil
 }
 
