--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -7,18 +7,18 @@
 )
 
 // Calls makes calls in the background; what comes while too many are under way is left out.
-type Calls struct {
+type Runner struct {
 	under chan struct{} // holds something for each call under way
 	wait  time.Duration
 }
 
 // New returns calls of which so many may be under way, each for so long at the most.
-func New(most int, wait time.Duration) *Calls {
-	return &Calls{under: make(chan struct{}, most), wait: wait}
+func New(most int, wait time.Duration) *Runner {
+	return &Runner{under: make(chan struct{}, most), wait: wait}
 }
 
 // Go makes a call, and hands what came of it to done.
-func (c *Calls) Go(call func(ctx context.Context) error, done func(err error)) {
+func (c *Runner) Go(call func(ctx context.Context) error, done func(err error)) {
 	select {
 	case c.under <- struct{}{}:
 	default:
--- a/internal/muteline/muteline.go
+++ b/internal/muteline/muteline.go
@@ -8,7 +8,7 @@
 const bufferBytes = 32 << 10
 
 // Line relays connections to a target.
-type Line struct {
+type Proxy struct {
 	target   string
 	listener net.Listener
 
@@ -19,28 +19,28 @@
 }
 
 // New returns a line to the target at an address of its own.
-func New(target string) (*Line, error) {
+func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // closed by Close
 	if err != nil {
 		return nil, err
 	}
-	l := &Line{target: target, listener: listener, epoch: make(chan struct{})}
+	l := &Proxy{target: target, listener: listener, epoch: make(chan struct{})}
 	go l.accept()
 	return l, nil
 }
 
 // Address returns the IP number and port that stand for the target.
-func (l *Line) Address() string { return l.listener.Addr().String() }
+func (l *Proxy) Address() string { return l.listener.Addr().String() }
 
 // Opened returns how many connections were ever opened.
-func (l *Line) Opened() int {
+func (l *Proxy) Opened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns) / 2
 }
 
 // Mute has the connections that are open now carry nothing more, while they stay open; new ones work.
-func (l *Line) Mute() {
+func (l *Proxy) Mute() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.epoch)
@@ -48,7 +48,7 @@
 }
 
 // Close ends the line and all of its connections.
-func (l *Line) Close() {
+func (l *Proxy) Close() {
 	_ = l.listener.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-func (l *Line) accept() {
+func (l *Proxy) accept() {
 	for {
 		near, err := l.listener.Accept()
 		if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // keep notes a connection; ok is false where the line is closed.
-func (l *Line) keep(near, far net.Conn) (muted chan struct{}, ok bool) {
+func (l *Proxy) keep(near, far net.Conn) (muted chan struct{}, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.over {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -4,11 +4,11 @@
 import "github.com/cespare/xxhash/v2"
 
 // Key ranks names for one key.
-type Key struct{ digest xxhash.Digest }
+type Hasher struct{ digest xxhash.Digest }
 
 // Of returns the ranks for a key.
-func Of(key string) Key {
-	var k Key
+func NewHasher(key string) Hasher {
+	var k Hasher
 	k.digest.Reset()
 	_, _ = k.digest.WriteString(key)
 	_, _ = k.digest.WriteString("\x00")
@@ -17,10 +17,10 @@
 
 // Score returns a name's rank for the key; the name with the highest is the key's. Where names come or go, only the keys
 // of those names move.
-func (k Key) Score(name string) uint64 {
+func (k Hasher) Score(name string) uint64 {
 	_, _ = k.digest.WriteString(name)
 	return k.digest.Sum64()
 }
 
 // Score returns a name's rank for a key.
-func Score(key, name string) uint64 { return Of(key).Score(name) }
+func Score(key, name string) uint64 { return NewHasher(key).Score(name) }
--- a/internal/steady/clock.go
+++ b/internal/steady/clock.go
@@ -60,7 +60,7 @@
 func Now() time.Time { return System().Now() }
 
 // Pretend has another clock stand for this VM's, and returns what ends that; it is for tests.
-func Pretend(c *Clock) (restore func()) {
+func ReplaceSystem(c *Clock) (restore func()) {
 	before := system.Swap(c)
 	return func() { system.Store(before) }
 }
--- a/shell/balancer/balancer.go
+++ b/shell/balancer/balancer.go
@@ -152,7 +152,7 @@
 }
 
 // Withheld notes that the limit of an upstream that was placed leaves the attempt nothing; it got nothing.
-func (b *Balancer) Withheld(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, next, turn time.Duration) {
+func (b *Balancer) LimitReached(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, next, turn time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -246,7 +246,7 @@
 }
 
 // Heard takes in what another node saw of an upstream.
-func (b *Balancer) Heard(sighting gossip.Sighting) {
+func (b *Balancer) RecordGossip(sighting gossip.Sighting) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.RecordGossip(time.Now(), sighting.Upstream, sighting.Kind)
--- a/shell/claims/claims.go
+++ b/shell/claims/claims.go
@@ -19,9 +19,9 @@
 
 // Config holds the bounds of claims.
 type Config struct {
-	Wait        time.Duration // longest wait for a claim to stand
-	SaveWait    time.Duration // longest wait for an answer to be kept
-	SettleEvery time.Duration // pause between tries to settle a claim whose write has an unknown outcome
+	StoreTimeout   time.Duration // longest wait for a claim to stand
+	SaveTimeout    time.Duration // longest wait for an answer to be kept
+	SettleInterval time.Duration // pause between tries to settle a claim whose write has an unknown outcome
 }
 
 // Claims runs requests at most once.
@@ -58,14 +58,14 @@
 
 // Outcome is what running a request came to; exactly one of its members says something.
 type Outcome struct {
-	Answer *claim.Answer
-	NotRun vaneyoke.Code // why the request was certainly not run
-	Lost   bool          // whether the request may have run without an answer
+	Answer     *claim.Answer
+	NotRun     vaneyoke.Code // why the request was certainly not run
+	MayHaveRun bool          // whether the request may have run without an answer
 }
 
 // Once claims a request, has run called at most once in the whole fleet, and returns the answer.
 // Its errors say truly whether the request was run.
-func (c *Claims) Once(ctx context.Context, req Request, run func(context.Context) Outcome) (claim.Answer, error) {
+func (c *Claims) RunAtMostOnce(ctx context.Context, req Request, run func(context.Context) Outcome) (claim.Answer, error) {
 	reply := c.newWorker(req, run).work(ctx)
 	if reply.Code == vaneyoke.CodeOK {
 		return *reply.Answer, nil
@@ -74,8 +74,8 @@
 }
 
 // Hold claims a request for good; only where it returns nil may the request be run, and only by its caller.
-func (c *Claims) Hold(ctx context.Context, req Request) error {
-	_, err := c.Once(ctx, req, nil)
+func (c *Claims) Acquire(ctx context.Context, req Request) error {
+	_, err := c.RunAtMostOnce(ctx, req, nil)
 	return err
 }
 
@@ -89,7 +89,7 @@
 }
 
 // Saving returns how many answers are being kept whose callers have them already.
-func (c *Claims) Saving() int { return int(c.saving.Load()) }
+func (c *Claims) PendingSaves() int { return int(c.saving.Load()) }
 
 // Run sends what is batched and settles claims, until ctx ends.
 func (c *Claims) Run(ctx context.Context) {
@@ -110,13 +110,13 @@
 		if err := c.revoke(ctx, s); err == nil {
 			return
 		}
-		pause.For(ctx, c.config.SettleEvery)
+		pause.For(ctx, c.config.SettleInterval)
 	}
 }
 
 // revoke revokes the claim if it stands, and returns an error while that is not known.
 func (c *Claims) revoke(ctx context.Context, s settling) error {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Wait)
+	ctx, cancel := context.WithTimeout(ctx, c.config.StoreTimeout)
 	defer cancel()
 	existing, err := c.read(ctx, s.key)
 	if vaneyoke.CodeOf(err) == vaneyoke.CodeNotFound {
--- a/shell/claims/worker.go
+++ b/shell/claims/worker.go
@@ -45,7 +45,7 @@
 // rest carries out what the caller need not wait for.
 func (w *worker) rest(effects []claim.Effect) {
 	defer w.claims.saving.Add(-1)
-	ctx, cancel := context.WithTimeout(context.Background(), w.claims.config.SaveWait)
+	ctx, cancel := context.WithTimeout(context.Background(), w.claims.config.SaveTimeout)
 	defer cancel()
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -60,7 +60,7 @@
 
 // write stores a record and returns what became of it.
 func (w *worker) write(ctx context.Context, e claim.Write) claim.Event {
-	ctx, cancel := context.WithTimeout(ctx, w.claims.config.Wait)
+	ctx, cancel := context.WithTimeout(ctx, w.claims.config.StoreTimeout)
 	defer cancel()
 	err := w.claims.put(ctx, w.key, e.Record, e.Expect)
 	switch vaneyoke.CodeOf(err) {
@@ -88,7 +88,7 @@
 	switch {
 	case out.Answer != nil:
 		return claim.Answered{Answer: *out.Answer}
-	case out.Lost:
+	case out.MayHaveRun:
 		return claim.MayHaveRun{}
 	default:
 		return claim.NotRun{Code: out.NotRun}
--- a/shell/failover/left_test.go
+++ b/shell/failover/left_test.go
@@ -39,7 +39,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := relay.New(nil, nil, nil, noop.NewTracerProvider().Tracer(""), relay.NewMetrics(new(expvar.Map).Init()), log, relay.Config{Generation: generation.DefaultConfig()})
-	m := New(vaneyoke.NodeID{VM: "own"}, "a", Config{AckWait: time.Hour, TailIDs: mostTail}, cursor.NewKeyring("key"), nil, twoNodes{}, r, nil, NewMetrics(new(expvar.Map).Init()), log)
+	m := New(vaneyoke.NodeID{VM: "own"}, "a", Config{AckTimeout: time.Hour, MaxTailIDs: mostTail}, cursor.NewKeyring("key"), nil, twoNodes{}, r, nil, NewMetrics(new(expvar.Map).Init()), log)
 	saved := relay.Saved{
 		Restored: generation.Restored{IDs: ids(text), Text: []byte(text)},
 		Result:   &relay.Result{Ended: true, Code: vaneyoke.CodeInterrupted},
@@ -72,7 +72,7 @@
 				if tc.tail != "" {
 					m.Release() // otherwise it comes while the reader waits for the backup
 				}
-				var piece Piece
+				var piece Chunk
 				var result relay.Result
 				go func() { piece, result, err = r.Read(t.Context()) }()
 				synctest.Wait()
--- a/shell/failover/manager.go
+++ b/shell/failover/manager.go
@@ -31,7 +31,7 @@
 // Claims holds requests that may run at most once.
 type Claims interface {
 	// Hold claims a request for good; only where it returns nil may the request be run.
-	Hold(ctx context.Context, req claims.Request) error
+	Acquire(ctx context.Context, req claims.Request) error
 }
 
 // Fleet says what the node knows of the others and of the upstreams.
@@ -45,10 +45,10 @@
 // Config holds the bounds of failover.
 type Config struct {
 	PushPeriod time.Duration // between pushes to a backup
-	AckWait    time.Duration // longest wait for a backup before another is tried
+	AckTimeout time.Duration // longest wait for a backup before another is tried
 	Linger     time.Duration // how long a session runs on after its caller has gone
 	Retention  time.Duration // how long a finished answer is kept
-	TailIDs    int           // most tokens that a cursor carries
+	MaxTailIDs int           // most tokens that a cursor carries
 }
 
 // Manager keeps the node's sessions whose callers may come back.
@@ -105,16 +105,16 @@
 }
 
 // Ask is a request whose caller may come back.
-type Ask struct {
-	Request *vaneyoke.Request
-	Body    []byte
-	Key     string // the caller's key for the request, "" where it will not come back
-	Cursor  string // the last mark that the caller holds, "" for the answer from its beginning
+type OpenRequest struct {
+	Request        *vaneyoke.Request
+	Body           []byte
+	IdempotencyKey string // the caller's key for the request, "" where it will not come back
+	Cursor         string // the last mark that the caller holds, "" for the answer from its beginning
 }
 
 // Open starts the request, or finds the answer that was begun before.
-func (m *Manager) Open(ctx context.Context, ask Ask) (*Reader, error) {
-	if ask.Key == "" {
+func (m *Manager) Open(ctx context.Context, ask OpenRequest) (*Reader, error) {
+	if ask.IdempotencyKey == "" {
 		if ask.Cursor != "" {
 			return nil, vaneyoke.ErrField(vaneyoke.CodeBadRequest, "header.Last-Event-ID", "needs an Idempotency-Key")
 		}
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	key := journal.Key{Workspace: ask.Request.Workspace, Key: ask.Key}
+	key := journal.Key{Workspace: ask.Request.Workspace, Key: ask.IdempotencyKey}
 	digest := ask.digest()
 	if s := m.find(key); s != nil {
 		return s.read(digest, mark)
@@ -137,7 +137,7 @@
 }
 
 // readCursor checks the caller's mark and that it belongs to the caller.
-func (m *Manager) readCursor(ask Ask) (*cursor.Cursor, error) {
+func (m *Manager) readCursor(ask OpenRequest) (*cursor.Cursor, error) {
 	if ask.Cursor == "" {
 		return nil, nil
 	}
@@ -152,7 +152,7 @@
 }
 
 // digest tells one request from another, so that a key is not used for two, nor a request that may run once for one that may run again.
-func (a Ask) digest() string {
+func (a OpenRequest) digest() string {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%d %t\x00", a.Request.Endpoint, a.Request.Repeatable)
 	_, _ = h.Write(a.Body)
--- a/shell/failover/open.go
+++ b/shell/failover/open.go
@@ -27,7 +27,7 @@
 )
 
 // openFleetWide reserves the key at its homes; where it was used before, the session is taken over.
-func (m *Manager) openFleetWide(ctx context.Context, ask Ask, key journal.Key, digest string, mark *cursor.Cursor) (*session, error) {
+func (m *Manager) openFleetWide(ctx context.Context, ask OpenRequest, key journal.Key, digest string, mark *cursor.Cursor) (*session, error) {
 	entry := journal.Entry{Request: ask.Request.ID, Owner: m.self, Epoch: 1, BodyDigest: digest}
 	if backup, ok := m.backup(nil); ok {
 		entry.Backup = backup.VM
@@ -74,9 +74,9 @@
 }
 
 // startFirst starts a request whose key is new; one that may run at most once has to be claimed in the table besides.
-func (m *Manager) startFirst(ctx context.Context, ask Ask, key journal.Key, entry journal.Entry) (*session, error) {
+func (m *Manager) startFirst(ctx context.Context, ask OpenRequest, key journal.Key, entry journal.Entry) (*session, error) {
 	if !ask.Request.Repeatable {
-		err := m.claims.Hold(ctx, claims.Request{
+		err := m.claims.Acquire(ctx, claims.Request{
 			Workspace: key.Workspace, Key: key.Key, ID: entry.Request, BodyDigest: hex.EncodeToString([]byte(entry.BodyDigest)),
 		})
 		if err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (m *Manager) start(ctx context.Context, ask Ask, key journal.Key, entry journal.Entry) *session {
+func (m *Manager) start(ctx context.Context, ask OpenRequest, key journal.Key, entry journal.Entry) *session {
 	s := newSession(m, key, entry, m.relay.Generate(ctx, ask.Request))
 	kept := m.add(s)
 	if kept != s {
@@ -105,7 +105,7 @@
 }
 
 // startAnew runs a request whose earlier session nobody holds, if that breaks no promise.
-func (m *Manager) startAnew(ctx context.Context, ask Ask, key journal.Key, existing []journal.Entry, mark *cursor.Cursor, entry journal.Entry) (*session, error) {
+func (m *Manager) startAnew(ctx context.Context, ask OpenRequest, key journal.Key, existing []journal.Entry, mark *cursor.Cursor, entry journal.Entry) (*session, error) {
 	if mark != nil {
 		m.metrics.Lost.Add(1)
 		return nil, errLost()
@@ -206,7 +206,7 @@
 }
 
 // restore goes on with a session that was taken over.
-func (m *Manager) restore(ctx context.Context, ask Ask, key journal.Key, d journal.Delta, mark *cursor.Cursor) (*session, error) {
+func (m *Manager) restore(ctx context.Context, ask OpenRequest, key journal.Key, d journal.Delta, mark *cursor.Cursor) (*session, error) {
 	if mark != nil && !mend(&d, mark) {
 		m.metrics.Lost.Add(1)
 		return nil, errLost()
--- a/shell/failover/push.go
+++ b/shell/failover/push.go
@@ -132,7 +132,7 @@
 
 // Flush waits until the backups hold the finished answers, or ctx ends.
 func (m *Manager) Flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, m.config.AckWait)
+	ctx, cancel := context.WithTimeout(ctx, m.config.AckTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
 	for _, s := range m.all() {
--- a/shell/failover/reader.go
+++ b/shell/failover/reader.go
@@ -21,7 +21,7 @@
 }
 
 // Piece is new text of an answer with the mark that goes with it.
-type Piece struct {
+type Chunk struct {
 	Text   []byte
 	Cursor string // "" where the caller will not come back
 }
@@ -59,20 +59,20 @@
 }
 
 // Read waits for new text or the end of the answer; the result is zero until the last text has been read.
-func (r *Reader) Read(ctx context.Context) (Piece, relay.Result, error) {
+func (r *Reader) Read(ctx context.Context) (Chunk, relay.Result, error) {
 	text, result, err := r.relay.Read(ctx, r.offset)
 	if err != nil || len(text) == 0 {
-		return Piece{}, result, err
+		return Chunk{}, result, err
 	}
 	r.offset += len(text)
-	piece := Piece{Text: text}
+	piece := Chunk{Text: text}
 	if r.session == nil {
 		return piece, result, nil
 	}
 	_, _ = r.digest.Write(text)
 	mark, ok := r.session.cursor(ctx, r.offset, r.digest.Sum64())
 	if !ok {
-		return Piece{}, relay.Result{Ended: true, Code: vaneyoke.CodeInterrupted}, nil
+		return Chunk{}, relay.Result{Ended: true, Code: vaneyoke.CodeInterrupted}, nil
 	}
 	piece.Cursor = mark
 	return piece, result, nil
@@ -85,11 +85,11 @@
 func (r *Reader) Session() *relay.Session { return r.relay }
 
 // Seal waits until the backup holds the whole answer, as long as that takes no longer than a backup may.
-func (r *Reader) Seal(ctx context.Context) {
+func (r *Reader) WaitReplicated(ctx context.Context) {
 	if r.session == nil {
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, r.manager.config.AckWait)
+	limit, cancel := context.WithTimeout(ctx, r.manager.config.AckTimeout)
 	defer cancel()
 	r.session.waitUntil(limit, r.session.sealed)
 }
--- a/shell/failover/session.go
+++ b/shell/failover/session.go
@@ -217,7 +217,7 @@
 // waitBacked waits until the backup holds all but a short tail, there is no backup, or the node has left the session.
 func (s *session) waitBacked(ctx context.Context) {
 	for ctx.Err() == nil {
-		limit, cancel := context.WithTimeout(ctx, s.manager.config.AckWait)
+		limit, cancel := context.WithTimeout(ctx, s.manager.config.AckTimeout)
 		slow, ok := s.waitUntil(limit, func() bool { return s.left || s.nearlyAcked() })
 		cancel()
 		if ok {
@@ -237,7 +237,7 @@
 	saved := s.relay.Save()
 	r, have := saved.Restored, s.confirmed(saved)
 	tail := len(r.IDs) - have.ids
-	return have.prompt && tail <= s.manager.config.TailIDs && len(r.Text)-have.text <= maxTailText
+	return have.prompt && tail <= s.manager.config.MaxTailIDs && len(r.Text)-have.text <= maxTailText
 }
 
 // sealed reports whether the backup holds the whole answer, or none will any more.
--- a/shell/mesh/suspended_test.go
+++ b/shell/mesh/suspended_test.go
@@ -16,7 +16,7 @@
 // TestSuspendedNodeReportsFullAge suspends a node's VM while the store is unavailable: the age that it reports must include the suspension.
 func TestSuspendedNodeReportsFullAge(t *testing.T) {
 	var suspended atomic.Int64
-	t.Cleanup(steady.Pretend(steady.New(func() time.Duration { return time.Duration(suspended.Load()) })))
+	t.Cleanup(steady.ReplaceSystem(steady.New(func() time.Duration { return time.Duration(suspended.Load()) })))
 	p := startMesh(t, 1)[0]
 	age := func() time.Duration {
 		w := httptest.NewRecorder()
--- a/shell/quarantines/node.go
+++ b/shell/quarantines/node.go
@@ -48,7 +48,7 @@
 	onBlock     func(vaneyoke.ContentID) // cancels the requests of a blocked content
 	metrics     *Metrics
 	log         logrus.FieldLogger
-	calls       *background.Calls // to the store
+	calls       *background.Runner // to the store
 
 	mu     sync.Mutex
 	state  *quarantine.State
