--- a/decide/placement/affinity.go
+++ b/decide/placement/affinity.go
@@ -163,7 +163,7 @@
 	if limit <= 0 {
 		return nil
 	}
-	key := rendezvous.Of(affinity)
+	key := rendezvous.NewHasher(affinity)
 	top := make([]ranked, 0, limit+1)
 	for _, e := range candidates {
 		hash := key.Score(string(e.upstream.ID))
--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -1,4 +1,4 @@
-// Package background makes calls whose outcome shows elsewhere, a few at a time.
+// Package background runs calls in the background with limited concurrency.
 package background
 
 import (
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Calls makes calls in the background; what comes while too many are under way is left out.
-type Calls struct {
-	under chan struct{} // holds something for each call under way
-	wait  time.Duration
+// Runner runs calls in the background. It drops a call if too many are in flight.
+type Runner struct {
+	slots   chan struct{} // holds an element for each call in flight
+	timeout time.Duration
 }
 
-// New returns calls of which so many may be under way, each for so long at the most.
-func New(most int, wait time.Duration) *Calls {
-	return &Calls{under: make(chan struct{}, most), wait: wait}
+// New returns a Runner with at most maxConcurrent calls in flight, each with the given timeout.
+func New(maxConcurrent int, timeout time.Duration) *Runner {
+	return &Runner{slots: make(chan struct{}, maxConcurrent), timeout: timeout}
 }
 
-// Go makes a call, and hands what came of it to done.
-func (c *Calls) Go(call func(ctx context.Context) error, done func(err error)) {
+// Go runs call and passes its error to done. If too many calls are in flight, it does nothing.
+func (r *Runner) Go(call func(ctx context.Context) error, done func(err error)) {
 	select {
-	case c.under <- struct{}{}:
+	case r.slots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-c.under }()
-		ctx, cancel := context.WithTimeout(context.Background(), c.wait)
+		defer func() { <-r.slots }()
+		ctx, cancel := context.WithTimeout(context.Background(), r.timeout)
 		defer cancel()
 		done(call(ctx))
 	}()
--- a/internal/background/background_test.go
+++ b/internal/background/background_test.go
@@ -13,8 +13,8 @@
 	"github.com/vaneyoke/vaneyoke/internal/background"
 )
 
-// TestCallsAreBounded makes more calls than may be under way, each of which waits until its time is over.
-func TestCallsAreBounded(t *testing.T) {
+// TestRunnerBoundsConcurrencyAndDuration makes more calls than may be in flight, each of which waits for its timeout.
+func TestRunnerBoundsConcurrencyAndDuration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := background.New(2, time.Second)
 		var made, ended atomic.Int64
--- a/internal/mutant/mutant.go
+++ b/internal/mutant/mutant.go
@@ -1,13 +1,13 @@
-// Package mutant helps tests to show that they notice a rule that was taken out.
+// Package mutant supports mutation tests, which check that a property test fails if a rule is removed from the code.
 package mutant
 
 import "pgregory.net/rapid"
 
-// Caught reports whether any of so many random stories is found to break a promise.
-func Caught(stories int, broken func(t *rapid.T) bool) bool {
-	story := rapid.Custom(broken)
-	for seed := range stories {
-		if story.Example(seed) {
+// Caught reports whether violates returns true for any of the given number of random examples.
+func Caught(attempts int, violates func(t *rapid.T) bool) bool {
+	example := rapid.Custom(violates)
+	for seed := range attempts {
+		if example.Example(seed) {
 			return true
 		}
 	}
--- a/internal/muteline/doc.go
+++ b/internal/muteline/doc.go
@@ -1,2 +1,3 @@
-// Package muteline relays TCP connections in tests, and has open ones fall silent for good without a reset.
+// Package muteline provides a TCP proxy for tests that can silently stop forwarding on open connections, as a network failure without a reset
+// does.
 package muteline
--- a/internal/muteline/muteline.go
+++ b/internal/muteline/muteline.go
@@ -7,98 +7,98 @@
 
 const bufferBytes = 32 << 10
 
-// Line relays connections to a target.
-type Line struct {
+// Proxy forwards TCP connections to a target.
+type Proxy struct {
 	target   string
 	listener net.Listener
 
-	mu    sync.Mutex
-	epoch chan struct{} // closed when the connections of before fall silent
-	conns []net.Conn
-	over  bool
+	mu     sync.Mutex
+	muted  chan struct{} // closed when the connections opened since the last Mute are muted
+	conns  []net.Conn
+	closed bool
 }
 
-// New returns a line to the target at an address of its own.
-func New(target string) (*Line, error) {
+// New returns a Proxy for target that listens on a loopback port.
+func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // closed by Close
 	if err != nil {
 		return nil, err
 	}
-	l := &Line{target: target, listener: listener, epoch: make(chan struct{})}
-	go l.accept()
-	return l, nil
+	p := &Proxy{target: target, listener: listener, muted: make(chan struct{})}
+	go p.accept()
+	return p, nil
 }
 
-// Address returns the IP number and port that stand for the target.
-func (l *Line) Address() string { return l.listener.Addr().String() }
+// Address returns the IP address and port on which the proxy listens.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Opened returns how many connections were ever opened.
-func (l *Line) Opened() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.conns) / 2
+// Opened returns the number of connections opened so far.
+func (p *Proxy) Opened() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.conns) / 2
 }
 
-// Mute has the connections that are open now carry nothing more, while they stay open; new ones work.
-func (l *Line) Mute() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	close(l.epoch)
-	l.epoch = make(chan struct{})
+// Mute stops forwarding on all open connections but keeps them open. New connections are forwarded.
+func (p *Proxy) Mute() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	close(p.muted)
+	p.muted = make(chan struct{})
 }
 
-// Close ends the line and all of its connections.
-func (l *Line) Close() {
-	_ = l.listener.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.over = true
-	for _, c := range l.conns {
+// Close stops the proxy and closes all of its connections.
+func (p *Proxy) Close() {
+	_ = p.listener.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	for _, c := range p.conns {
 		_ = c.Close()
 	}
 }
 
-func (l *Line) accept() {
+func (p *Proxy) accept() {
 	for {
-		near, err := l.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", l.target) //nolint:noctx // to loopback
+		server, err := net.Dial("tcp", p.target) //nolint:noctx // to loopback
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		muted, ok := l.keep(near, far)
+		muted, ok := p.track(client, server)
 		if !ok {
 			return
 		}
-		go relay(near, far, muted)
-		go relay(far, near, muted)
+		go copyUntilMuted(client, server, muted)
+		go copyUntilMuted(server, client, muted)
 	}
 }
 
-// keep notes a connection; ok is false where the line is closed.
-func (l *Line) keep(near, far net.Conn) (muted chan struct{}, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.over {
-		_, _ = near.Close(), far.Close()
+// track registers a pair of connections; ok is false if the proxy is closed.
+func (p *Proxy) track(client, server net.Conn) (muted chan struct{}, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		_, _ = client.Close(), server.Close()
 		return nil, false
 	}
-	l.conns = append(l.conns, near, far)
-	return l.epoch, true
+	p.conns = append(p.conns, client, server)
+	return p.muted, true
 }
 
-// relay carries bytes until one side ends or the connection is muted, after which it takes them and tells nobody.
-func relay(from, to net.Conn, muted chan struct{}) {
+// copyUntilMuted copies bytes until one side closes. After the connection is muted, it reads and discards them.
+func copyUntilMuted(from, to net.Conn, muted chan struct{}) {
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		select {
 		case <-muted:
 			if err != nil {
-				return // the other side is not told
+				return // a muted connection does not pass on the close
 			}
 			continue
 		default:
--- a/internal/names/names.go
+++ b/internal/names/names.go
@@ -1,9 +1,9 @@
-// Package names gives numbers the names that stand in logs, also those that came from elsewhere and mean nothing here.
+// Package names converts enumeration values to the names used in logs, including unknown values received from peers.
 package names
 
 import "strconv"
 
-// Of returns the name of a number, by its place in a list; a number without one is written as it is.
+// Of returns the entry of list at index number, or "unknown" and the number if there is none.
 func Of[N ~int](number N, list ...string) string {
 	if number < 0 || int(number) >= len(list) {
 		return "unknown " + strconv.Itoa(int(number))
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that can be cut short.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits, and reports whether the whole time has passed; it returns early when ctx ends.
+// For waits for d or until ctx ends, and reports whether the whole time has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,26 +1,26 @@
-// Package rendezvous ranks names for a key, so that all who know the same names agree without a word.
+// Package rendezvous implements rendezvous hashing: nodes that know the same names rank them for a key in the same order without communication.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Key ranks names for one key.
-type Key struct{ digest xxhash.Digest }
+// Hasher scores names for one key.
+type Hasher struct{ digest xxhash.Digest }
 
-// Of returns the ranks for a key.
-func Of(key string) Key {
-	var k Key
-	k.digest.Reset()
-	_, _ = k.digest.WriteString(key)
-	_, _ = k.digest.WriteString("\x00")
-	return k
+// NewHasher returns a Hasher for key.
+func NewHasher(key string) Hasher {
+	var h Hasher
+	h.digest.Reset()
+	_, _ = h.digest.WriteString(key)
+	_, _ = h.digest.WriteString("\x00")
+	return h
 }
 
-// Score returns a name's rank for the key; the name with the highest is the key's. Where names come or go, only the keys
-// of those names move.
-func (k Key) Score(name string) uint64 {
-	_, _ = k.digest.WriteString(name)
-	return k.digest.Sum64()
+// Score returns the score of a name for the key. The key belongs to the name with the highest score; when a name is added or removed, only
+// the keys of that name move.
+func (h Hasher) Score(name string) uint64 {
+	_, _ = h.digest.WriteString(name)
+	return h.digest.Sum64()
 }
 
-// Score returns a name's rank for a key.
-func Score(key, name string) uint64 { return Of(key).Score(name) }
+// Score returns the score of a name for a key.
+func Score(key, name string) uint64 { return NewHasher(key).Score(name) }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -19,8 +19,8 @@
 	return found
 }
 
-// TestOnlyTheKeysOfANameMove takes one of ten names away.
-func TestOnlyTheKeysOfANameMove(t *testing.T) {
+// TestRemovingNameMovesOnlyItsKeys removes one of ten names.
+func TestRemovingNameMovesOnlyItsKeys(t *testing.T) {
 	var names []string
 	for n := range 10 {
 		names = append(names, fmt.Sprint("name-", n))
--- a/internal/steady/clock.go
+++ b/internal/steady/clock.go
@@ -1,4 +1,4 @@
-// Package steady tells the time on a clock that also counts while the VM is suspended, which the runtime's own clock does not.
+// Package steady provides a clock that advances while the VM is suspended. The monotonic clock of the Go runtime does not.
 package steady
 
 import (
@@ -9,41 +9,43 @@
 	"github.com/vaneyoke/vaneyoke/internal/pause"
 )
 
-// shortest is the shortest suspension that counts; less is the time between two readings of clocks.
-const shortest = time.Millisecond
+// minSuspension is the shortest suspension that is recorded; a smaller difference is the time between the readings of the two clocks.
+const minSuspension = time.Millisecond
 
-// Clock counts for how long the VM has been suspended.
+// Clock measures for how long the VM has been suspended.
 type Clock struct {
-	behind func() time.Duration // by how much the runtime's clock is behind one that counts while the VM is suspended
-	first  time.Duration
-	total  atomic.Int64 // nanoseconds
+	bootOffset    func() time.Duration // the boot-time clock, which advances during suspension, minus the monotonic clock
+	initialOffset time.Duration
+	suspended     atomic.Int64 // nanoseconds
 }
 
-// New returns a clock that begins now, by what tells how far the runtime's clock is behind.
-func New(behind func() time.Duration) *Clock { return &Clock{behind: behind, first: behind()} }
+// New returns a Clock that starts now and calls bootOffset for the time by which the monotonic clock lags behind the boot-time clock.
+func New(bootOffset func() time.Duration) *Clock {
+	return &Clock{bootOffset: bootOffset, initialOffset: bootOffset()}
+}
 
-// Suspended returns for how long the VM has been suspended since the clock began.
+// Suspended returns the total time for which the VM has been suspended since the clock started.
 func (c *Clock) Suspended() time.Duration {
 	for {
-		known := c.total.Load()
-		total := int64(c.behind() - c.first)
-		if total < known+int64(shortest) {
-			return time.Duration(known)
+		recorded := c.suspended.Load()
+		suspended := int64(c.bootOffset() - c.initialOffset)
+		if suspended < recorded+int64(minSuspension) {
+			return time.Duration(recorded)
 		}
-		if c.total.CompareAndSwap(known, total) {
-			return time.Duration(total)
+		if c.suspended.CompareAndSwap(recorded, suspended) {
+			return time.Duration(suspended)
 		}
 	}
 }
 
-// Now returns the present time; only the differences to other times of the clock mean something.
+// Now returns the current time. Only differences between times of the same clock are meaningful.
 func (c *Clock) Now() time.Time { return time.Now().Add(c.Suspended()) }
 
-// Watch calls woke with the length of each suspension, soon after it, until ctx ends.
-func (c *Clock) Watch(ctx context.Context, every time.Duration, woke func(suspended time.Duration)) {
-	for before := c.Suspended(); pause.For(ctx, every); {
+// Watch checks for suspensions at the given interval and calls onResume with the length of each, until ctx ends.
+func (c *Clock) Watch(ctx context.Context, interval time.Duration, onResume func(suspended time.Duration)) {
+	for before := c.Suspended(); pause.For(ctx, interval); {
 		if now := c.Suspended(); now > before {
-			woke(now - before)
+			onResume(now - before)
 			before = now
 		}
 	}
@@ -51,16 +53,16 @@
 
 var system atomic.Pointer[Clock]
 
-func init() { system.Store(New(systemBehind)) }
+func init() { system.Store(New(systemBootOffset)) }
 
 // System returns the clock of this VM.
 func System() *Clock { return system.Load() }
 
-// Now returns the present time on the clock of this VM.
+// Now returns the current time on the clock of this VM.
 func Now() time.Time { return System().Now() }
 
-// Pretend has another clock stand for this VM's, and returns what ends that; it is for tests.
-func Pretend(c *Clock) (restore func()) {
+// ReplaceSystem replaces the clock of this VM in tests, and returns a function that restores it.
+func ReplaceSystem(c *Clock) (restore func()) {
 	before := system.Swap(c)
 	return func() { system.Store(before) }
 }
--- a/internal/steady/clock_linux.go
+++ b/internal/steady/clock_linux.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemBehind returns by how much the monotonic clock is behind the boot time. The boot time is read first: a pause between the two
-// readings must not look like a suspension.
-func systemBehind() time.Duration {
+// systemBootOffset returns the time by which CLOCK_MONOTONIC lags behind CLOCK_BOOTTIME. CLOCK_BOOTTIME is read first, so that a pause
+// between the two readings does not look like a suspension.
+func systemBootOffset() time.Duration {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
--- a/internal/steady/clock_other.go
+++ b/internal/steady/clock_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// systemBehind tells nothing where suspensions cannot be read off the clocks.
-func systemBehind() time.Duration { return 0 }
+// systemBootOffset returns 0, because the clocks of this system do not show suspensions.
+func systemBootOffset() time.Duration { return 0 }
--- a/shell/catalog/suspended_test.go
+++ b/shell/catalog/suspended_test.go
@@ -18,7 +18,7 @@
 // had been suspended for minutes accepted requests with a configuration that was minutes old, and would have accepted a revoked key.
 func TestSuspendedNodeIsNotFresh(t *testing.T) {
 	var suspended atomic.Int64
-	t.Cleanup(steady.Pretend(steady.New(func() time.Duration { return time.Duration(suspended.Load()) })))
+	t.Cleanup(steady.ReplaceSystem(steady.New(func() time.Duration { return time.Duration(suspended.Load()) })))
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	table := memory.New()
--- a/shell/mesh/suspended_test.go
+++ b/shell/mesh/suspended_test.go
@@ -16,7 +16,7 @@
 // TestSuspendedNodeTellsTheAge suspends a node's VM while the store is away: to others it tells tables as old as they are.
 func TestSuspendedNodeTellsTheAge(t *testing.T) {
 	var behind atomic.Int64
-	t.Cleanup(steady.Pretend(steady.New(func() time.Duration { return time.Duration(behind.Load()) })))
+	t.Cleanup(steady.ReplaceSystem(steady.New(func() time.Duration { return time.Duration(behind.Load()) })))
 	p := startMesh(t, 1)[0]
 	age := func() time.Duration {
 		w := httptest.NewRecorder()
--- a/shell/quarantines/node.go
+++ b/shell/quarantines/node.go
@@ -48,7 +48,7 @@
 	bar     func(vaneyoke.ContentID) // ends what is under way of a content
 	metrics *Metrics
 	log     logrus.FieldLogger
-	calls   *background.Calls // to the store
+	calls   *background.Runner // to the store
 
 	mu    sync.Mutex
 	state *quarantine.State
--- a/shell/ratelimits/node.go
+++ b/shell/ratelimits/node.go
@@ -57,7 +57,7 @@
 	self      vaneyoke.VMID
 	messenger Messenger
 	store     Store
-	calls     *background.Calls // to the store
+	calls     *background.Runner // to the store
 	account   *Account
 	metrics   *Metrics
 	log       logrus.FieldLogger
