--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -36,7 +36,7 @@
 		b.crashes.Heard(s)
 		return
 	}
-	b.Heard(s)
+	b.RecordGossip(s)
 }
 
 // Place returns an upstream.
@@ -58,7 +58,7 @@
 
 // Withheld notes that there was none for an attempt that had been placed.
 func (b *gatewayPlacer) Withheld(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
-	b.Balancer.Withheld(need, isRetry, id, permit.Next, permit.Turn)
+	b.Balancer.LimitReached(need, isRetry, id, permit.Next, permit.Turn)
 }
 
 // Answered notes how an upstream answered.
--- a/shell/balancer/balancer.go
+++ b/shell/balancer/balancer.go
@@ -15,36 +15,36 @@
 	"github.com/vaneyoke/vaneyoke/decide/rollout"
 )
 
-// noUpstreamRetry is when a caller should come back where no upstream is live.
-const noUpstreamRetry = 2 * time.Second
+// noUpstreamRetryAfter is the retry-after time if no upstream is live or the retry budget is exhausted.
+const noUpstreamRetryAfter = 2 * time.Second
 
 // Balancer chooses upstreams for the sessions of one node.
 type Balancer struct {
-	mu      sync.Mutex
-	state   *placement.State
-	limits  retry.BudgetConfig
-	budgets map[vaneyoke.ServiceID]*retry.Budget // of each service, and of all engines under ""
-	rng     *rand.Rand
+	mu           sync.Mutex
+	state        *placement.State
+	budgetConfig retry.BudgetConfig
+	budgets      map[vaneyoke.ServiceID]*retry.Budget // by service; all engines share the entry ""
+	rng          *rand.Rand
 
 	leaving []vaneyoke.VMID
 }
 
-// New returns a balancer over the given state.
-func New(state *placement.State, limits retry.BudgetConfig, rng *rand.Rand) *Balancer {
-	return &Balancer{state: state, limits: limits, budgets: map[vaneyoke.ServiceID]*retry.Budget{}, rng: rng}
+// New returns a Balancer for the given state.
+func New(state *placement.State, budgetConfig retry.BudgetConfig, rng *rand.Rand) *Balancer {
+	return &Balancer{state: state, budgetConfig: budgetConfig, budgets: map[vaneyoke.ServiceID]*retry.Budget{}, rng: rng}
 }
 
-// budget returns the retry budget of a service, so that the retries at one do not keep another's from going on.
+// budget returns the retry budget of a service. Budgets are separate so that retries of one service do not use up those of another.
 func (b *Balancer) budget(service vaneyoke.ServiceID) *retry.Budget {
 	budget := b.budgets[service]
 	if budget == nil {
-		budget = retry.NewBudget(b.limits)
+		budget = retry.NewBudget(b.budgetConfig)
 		b.budgets[service] = budget
 	}
 	return budget
 }
 
-// SetUpstreams takes in the fleet's upstreams and those of them that are drained.
+// SetUpstreams sets the upstreams of the fleet and which of them are drained.
 func (b *Balancer) SetUpstreams(upstreams []vaneyoke.Upstream, drained []vaneyoke.Selector) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,7 +53,7 @@
 	b.state.SetLeaving(b.leaving)
 }
 
-// SetLeaving takes in which VMs are leaving.
+// SetLeaving sets the VMs that are leaving.
 func (b *Balancer) SetLeaving(vms []vaneyoke.VMID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,240 +61,240 @@
 	b.state.SetLeaving(vms)
 }
 
-// SetDrained takes in which upstreams are drained.
+// SetDrained sets which upstreams are drained.
 func (b *Balancer) SetDrained(drained []vaneyoke.Selector) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.SetDrained(drained)
 }
 
-// SetRetryBurst changes how many retries this node can save up for each service.
+// SetRetryBurst sets how many retries this node can accumulate for each service.
 func (b *Balancer) SetRetryBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limits.Burst = burst
+	b.budgetConfig.Burst = burst
 	for _, budget := range b.budgets {
 		budget.SetBurst(burst)
 	}
 }
 
-// Admit notes that a request was taken, which earns a share of a retry.
+// Admit records an accepted request, which adds a fraction of a retry to the budget.
 func (b *Balancer) Admit(need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(need.Service).Admit(time.Now())
 }
 
-// Place returns an upstream and its expected time to the first token, and notes that an attempt goes to it.
+// Place selects an upstream, records an attempt on it, and returns it with its expected time to first token.
 func (b *Balancer) Place(need placement.Need, isRetry bool) (vaneyoke.Upstream, time.Duration, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	if isRetry && !b.budget(need.Service).Take(now) {
-		return vaneyoke.Upstream{}, 0, vaneyoke.ErrRetryAfter(vaneyoke.CodeRetryExhausted, noUpstreamRetry, "the node's retry budget is spent")
+		return vaneyoke.Upstream{}, 0, vaneyoke.ErrRetryAfter(vaneyoke.CodeRetryExhausted, noUpstreamRetryAfter, "the node's retry budget is spent")
 	}
-	upstream, expect, ok := b.state.Pick(now, b.rng, need)
+	upstream, expectedTTFT, ok := b.state.Pick(now, b.rng, need)
 	if !ok {
 		if isRetry {
 			b.budget(need.Service).GiveBack(now)
 		}
-		return vaneyoke.Upstream{}, 0, b.unplaced(now, need)
+		return vaneyoke.Upstream{}, 0, b.placementError(now, need)
 	}
 	b.state.Sent(now, upstream.ID)
-	return upstream, expect, nil
+	return upstream, expectedTTFT, nil
 }
 
-// Unsent notes that a retry never reached its upstream, so that it does not count.
+// Unsent returns a retry to the budget that never reached its upstream.
 func (b *Balancer) Unsent(need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(need.Service).GiveBack(time.Now())
 }
 
-// Replaced notes that another upstream has the address of one that was placed; it got nothing.
+// Replaced undoes a placement on an upstream whose address now belongs to another upstream. Nothing was sent to it.
 func (b *Balancer) Replaced(need placement.Need, isRetry bool, id vaneyoke.UpstreamID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.unplace(time.Now(), need, isRetry, id, placement.OutcomeGone)
+	b.undoPlacement(time.Now(), need, isRetry, id, placement.OutcomeGone)
 }
 
-// SetLimit takes in that an upstream names a limit, or none any more.
+// SetLimit sets the limit that an upstream declares; the zero Limit means none.
 func (b *Balancer) SetLimit(id vaneyoke.UpstreamID, limit vaneyoke.Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.SetLimit(id, limit)
 }
 
-// Signalled takes in what an upstream said of itself in an answer, and returns the hold that it leads to and what it was before; ok is false where
-// nothing follows.
+// Signalled records a pushback or shutdown signal from an upstream's answer. It returns the resulting hold and the previous one; ok is false
+// if the signal has no effect.
 func (b *Balancer) Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, before := b.state.RecordSignal(time.Now(), signal)
-	if now == nil {
+	current, before := b.state.RecordSignal(time.Now(), signal)
+	if current == nil {
 		return pushback.Hold{}, before, false
 	}
-	return *now, before, true
+	return *current, before, true
 }
 
-// IsHeld reports whether an upstream gets no new attempt because it said so.
+// IsHeld reports whether an upstream gets no new attempts because of a signal that it sent.
 func (b *Balancer) IsHeld(id vaneyoke.UpstreamID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.IsHeld(time.Now(), id)
 }
 
-// IsPushedBack reports whether an upstream wants nothing at all for a while, questions included.
+// IsPushedBack reports whether an upstream has asked for a time without any requests, queries included.
 func (b *Balancer) IsPushedBack(id vaneyoke.UpstreamID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.IsPushedBack(time.Now(), id)
 }
 
-// Withheld notes that the limit of an upstream that was placed leaves the attempt nothing; it got nothing.
-func (b *Balancer) Withheld(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, next, turn time.Duration) {
+// LimitReached undoes a placement on an upstream whose limit does not permit the attempt. Nothing was sent to it.
+func (b *Balancer) LimitReached(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, availableIn, retryAfter time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.state.LimitReached(now, id, next, turn)
-	b.unplace(now, need, isRetry, id, placement.OutcomeDropped)
+	b.state.LimitReached(now, id, availableIn, retryAfter)
+	b.undoPlacement(now, need, isRetry, id, placement.OutcomeDropped)
 }
 
-// unplace takes back that an upstream was placed, which got nothing.
-func (b *Balancer) unplace(now time.Time, need placement.Need, isRetry bool, id vaneyoke.UpstreamID, outcome placement.Outcome) {
+// undoPlacement reverts a placement on an upstream to which nothing was sent.
+func (b *Balancer) undoPlacement(now time.Time, need placement.Need, isRetry bool, id vaneyoke.UpstreamID, outcome placement.Outcome) {
 	b.state.Ended(now, id, outcome, false)
 	if isRetry {
 		b.budget(need.Service).GiveBack(now)
 	}
 }
 
-// Lend spends one retry of a service's budget for another node, and reports whether there was one.
+// Lend takes one retry from a service's budget for another node, and reports whether one was available.
 func (b *Balancer) Lend(service vaneyoke.ServiceID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(service).Take(time.Now())
 }
 
-func (b *Balancer) unplaced(now time.Time, need placement.Need) error {
+func (b *Balancer) placementError(now time.Time, need placement.Need) error {
 	if !b.state.Offers(need) {
 		return vaneyoke.Err(vaneyoke.CodeUnknownModel, "no upstream offers %s%s", need.Model, need.Service)
 	}
-	pushed, isPushed := b.state.PushbackRetryAfter(now, b.rng, need)
-	if after, ok := b.state.LimitRetryAfter(now, need); ok && (!isPushed || after <= pushed) {
-		return vaneyoke.ErrRetryAfter(vaneyoke.CodeWithheld, after, "the upstreams that could take the request get as many as they name already")
+	pushbackRetryAfter, isPushedBack := b.state.PushbackRetryAfter(now, b.rng, need)
+	if limitRetryAfter, ok := b.state.LimitRetryAfter(now, need); ok && (!isPushedBack || limitRetryAfter <= pushbackRetryAfter) {
+		return vaneyoke.ErrRetryAfter(vaneyoke.CodeWithheld, limitRetryAfter, "the upstreams that could take the request get as many as they name already")
 	}
-	if isPushed {
-		return vaneyoke.ErrRetryAfter(vaneyoke.CodePushedBack, pushed, "the upstreams that could take the request have asked for nothing for a while")
+	if isPushedBack {
+		return vaneyoke.ErrRetryAfter(vaneyoke.CodePushedBack, pushbackRetryAfter, "the upstreams that could take the request have asked for nothing for a while")
 	}
-	return vaneyoke.ErrRetryAfter(vaneyoke.CodeNoUpstream, noUpstreamRetry, "no upstream is live")
+	return vaneyoke.ErrRetryAfter(vaneyoke.CodeNoUpstream, noUpstreamRetryAfter, "no upstream is live")
 }
 
-// Offers reports whether any upstream offers what the need asks for.
+// Offers reports whether any upstream offers the model or service of need.
 func (b *Balancer) Offers(need placement.Need) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.Offers(need)
 }
 
-// Holders returns the upstreams that may keep a prompt.
+// Holders returns the upstreams that may have the prompt cached.
 func (b *Balancer) Holders(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.PromptHolders(time.Now(), need)
 }
 
-// Homes returns the upstreams of which one is to get a prompt.
+// Homes returns the upstreams that are preferred for a prompt, by affinity.
 func (b *Balancer) Homes(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.AffinityUpstreams(time.Now(), need)
 }
 
-// Spares returns upstreams that can be asked for their reports because no home of a prompt is free.
+// Spares returns further upstreams that can be queried for load reports if all upstreams preferred for a prompt are busy.
 func (b *Balancer) Spares(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.SpilloverUpstreams(time.Now(), b.rng, need)
 }
 
-// HasRoom reports whether an upstream that may get a prompt has room for it, as far as upstreams told of their memory.
+// HasRoom reports whether an upstream that may get a prompt has memory for it, as far as upstreams report their memory.
 func (b *Balancer) HasRoom(need placement.Need) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.HasRoom(time.Now(), need)
 }
 
-// Reported notes what an upstream told of its work.
+// Reported records a load report of an upstream.
 func (b *Balancer) Reported(id vaneyoke.UpstreamID, report vaneyoke.LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.Reported(time.Now(), id, report)
 }
 
-// Replica returns an upstream that can keep a replica of a run on another, in another data centre where there is one.
+// Replica selects an upstream for a replica of a run on primary, in another data centre if possible.
 func (b *Balancer) Replica(need placement.Need, primary vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.PickReplica(time.Now(), b.rng, need, primary)
 }
 
-// Released notes that a replica is needed no more.
+// Released records that a replica is no longer needed.
 func (b *Balancer) Released(replica vaneyoke.UpstreamID, need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.ReleaseReplica(replica, need)
 }
 
-// Heard takes in what another node saw of an upstream.
-func (b *Balancer) Heard(sighting gossip.Sighting) {
+// RecordGossip records an observation of an upstream by another node.
+func (b *Balancer) RecordGossip(sighting gossip.Sighting) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.RecordGossip(time.Now(), sighting.Upstream, sighting.Kind)
 }
 
-// Resumed notes that an attempt was attached again to an upstream that it had lost.
+// Resumed records that an attempt reconnected to its upstream after a lost connection.
 func (b *Balancer) Resumed(id vaneyoke.UpstreamID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.Resumed(id)
 }
 
-// Ended notes how an attempt on a placed upstream came out.
+// Ended records the outcome of an attempt; begun says whether its first token had arrived.
 func (b *Balancer) Ended(id vaneyoke.UpstreamID, outcome placement.Outcome, begun bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.Ended(time.Now(), id, outcome, begun)
 }
 
-// FirstToken notes that an attempt's first token came after a while.
+// FirstToken records the time to first token of an attempt.
 func (b *Balancer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.FirstToken(time.Now(), id, took, promptBytes)
 }
 
-// TakesWork reports whether an upstream may be given new work.
+// TakesWork reports whether an upstream may get new attempts.
 func (b *Balancer) TakesWork(id vaneyoke.UpstreamID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.TakesWork(time.Now(), id)
 }
 
-// SetSplit takes in how a service's requests are divided among the versions of its upstreams.
+// SetSplit sets how the requests of a service are divided among the versions of its upstreams.
 func (b *Balancer) SetSplit(service vaneyoke.ServiceID, split rollout.Split) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.SetSplit(service, split)
 }
 
-// Draws reports whether a new request tries the version to which its service moves.
+// Draws decides at random whether a new request goes to the target version of its service's rollout.
 func (b *Balancer) Draws(service vaneyoke.ServiceID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.DrawCanary(b.rng, service)
 }
 
-// Running returns the attempts under way by service and version.
+// Running returns the number of attempts in flight by service and version.
 func (b *Balancer) Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -308,7 +308,7 @@
 	return b.state.Models()
 }
 
-// RetriesLeft returns how many retries are left, for each service that was asked for.
+// RetriesLeft returns the number of retries left for each service that has a budget.
 func (b *Balancer) RetriesLeft() map[vaneyoke.ServiceID]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -316,7 +316,7 @@
 	return lo.MapValues(b.budgets, func(budget *retry.Budget, _ vaneyoke.ServiceID) int { return int(budget.Left(now)) })
 }
 
-// Loads returns what the node sees of each upstream.
+// Loads returns the load of each upstream as this node sees it.
 func (b *Balancer) Loads() []placement.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/shell/balancer/doc.go
+++ b/shell/balancer/doc.go
@@ -1,2 +1,2 @@
-// Package balancer runs the placement decisions of one node under a lock, with its clock and random numbers.
+// Package balancer makes the placement state of a node safe for concurrent use, and supplies it with the clock and random numbers.
 package balancer
