--- a/api/callerapi/answer.go
+++ b/api/callerapi/answer.go
@@ -39,7 +39,7 @@
 	if err := result.Err(); err != nil {
 		return nil, err
 	}
-	a.reader.Seal(ctx)
+	a.reader.WaitReplicated(ctx)
 	body := session.Answer().Body
 	if a.req.Continuable {
 		whole := openai.NewResponse(a.req, a.req.ReceivedAt, string(session.Text()), result.Reason, result.Usage)
@@ -103,7 +103,7 @@
 }
 
 // send writes the answer to its end; an error says that the caller is gone.
-func (s *sender) send(ctx context.Context, piece failover.Piece, result relay.Result, resumed bool) error {
+func (s *sender) send(ctx context.Context, piece failover.Chunk, result relay.Result, resumed bool) error {
 	if !s.req.Continuable {
 		return s.sendWhole(ctx, result)
 	}
@@ -146,7 +146,7 @@
 	if err := result.Err(); err != nil {
 		return s.writeFailure(err)
 	}
-	s.reader.Seal(ctx)
+	s.reader.WaitReplicated(ctx)
 	end := append([]byte(nil), s.writer.Finish(result.Reason)...)
 	if s.req.IncludeUsage {
 		end = append(end, s.writer.Usage(result.Usage)...)
--- a/api/callerapi/generate.go
+++ b/api/callerapi/generate.go
@@ -77,7 +77,7 @@
 	req.Repeatable = in.Repeatable != "false"
 	ctx, span := a.startSpan(ctx, "caller", in.TraceParent)
 	defer span.End()
-	ask := failover.Ask{Request: &req, Body: in.RawBody, Key: in.Key, Cursor: in.Cursor}
+	ask := failover.OpenRequest{Request: &req, Body: in.RawBody, IdempotencyKey: in.Key, Cursor: in.Cursor}
 	reader, err := a.failover.Open(ctx, ask)
 	if err != nil {
 		return nil, err
--- a/api/callerapi/service.go
+++ b/api/callerapi/service.go
@@ -57,7 +57,7 @@
 		return respondWith(answer, &req), err
 	}
 	answer, err := a.detached(ctx, func(ctx context.Context) (claim.Answer, error) {
-		return a.claims.Once(ctx, claims.Request{
+		return a.claims.RunAtMostOnce(ctx, claims.Request{
 			Workspace: workspace.ID, Key: in.Key, ID: req.ID, BodyDigest: callDigest(in),
 		}, func(ctx context.Context) claims.Outcome { return outcomeOf(a.runCall(ctx, &req, in)) })
 	})
@@ -111,7 +111,7 @@
 	case code.Info().NotRun:
 		return claims.Outcome{NotRun: code}
 	default:
-		return claims.Outcome{Lost: true}
+		return claims.Outcome{MayHaveRun: true}
 	}
 }
 
--- a/process/node/config.go
+++ b/process/node/config.go
@@ -56,9 +56,9 @@
 func failoverConfig(s settings.Peers) failover.Config {
 	return failover.Config{
 		PushPeriod: s.PushPeriod,
-		AckWait:    s.AckWait,
+		AckTimeout: s.AckWait,
 		Linger:     s.Linger,
 		Retention:  s.Retention,
-		TailIDs:    s.TailTokens,
+		MaxTailIDs: s.TailTokens,
 	}
 }
--- a/process/node/node.go
+++ b/process/node/node.go
@@ -232,8 +232,8 @@
 func (n *Node) keep(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	if !waitForNone(ctx, n.claims.Saving) {
-		n.log.WithField("count", n.claims.Saving()).Warn("answers_not_kept")
+	if !waitForNone(ctx, n.claims.PendingSaves) {
+		n.log.WithField("count", n.claims.PendingSaves()).Warn("answers_not_kept")
 	}
 }
 
--- a/process/node/wire.go
+++ b/process/node/wire.go
@@ -181,7 +181,7 @@
 	s := do.MustInvoke[settings.Settings](i).Claims
 	table := do.MustInvoke[*aws.Client](i)
 	batch := claims.NewBatcher(table, s.Window, do.MustInvoke[*expvar.Map](i))
-	config := claims.Config{Wait: s.Wait, SaveWait: s.SaveWait, SettleEvery: s.SettleEvery}
+	config := claims.Config{StoreTimeout: s.Wait, SaveTimeout: s.SaveWait, SettleInterval: s.SettleEvery}
 	return claims.New(do.MustInvoke[vaneyoke.NodeID](i), config, table, batch, do.MustInvoke[logrus.FieldLogger](i)), nil
 }
 
--- a/shell/claims/batcher.go
+++ b/shell/claims/batcher.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	queueLength = 1024
-	batchWrites = 25
+	queueLength    = 1024
+	maxBatchWrites = 25
 )
 
-// Batcher gathers writes for a moment and sends them as one transaction.
+// Batcher collects the writes of a short time window and commits them in one transaction.
 type Batcher struct {
-	table  store.Table
-	window time.Duration
-	queue  chan pending
-	writes *expvar.Int
-	calls  *expvar.Int
+	table        store.Table
+	window       time.Duration
+	queue        chan pendingWrite
+	writes       *expvar.Int
+	transactions *expvar.Int
 }
 
 // pending is a write that waits for its outcome.
-type pending struct {
+type pendingWrite struct {
 	put  store.Put
 	done chan error
 }
 
-// NewBatcher returns a batcher that gathers writes for the given time; Run has to be called for it to send them.
+// NewBatcher returns a Batcher that collects writes for the given window. Writes are sent while Run is running.
 func NewBatcher(table store.Table, window time.Duration, vars *expvar.Map) *Batcher {
-	b := &Batcher{table: table, window: window, queue: make(chan pending, queueLength), writes: new(expvar.Int), calls: new(expvar.Int)}
+	b := &Batcher{table: table, window: window, queue: make(chan pendingWrite, queueLength), writes: new(expvar.Int), transactions: new(expvar.Int)}
 	vars.Set("claim_writes_total", b.writes)
-	vars.Set("claim_transactions_total", b.calls)
+	vars.Set("claim_transactions_total", b.transactions)
 	return b
 }
 
-// Write stores a row; an error tells a race from an outage and from an outcome that is not known.
+// Write stores a row. The code of its error distinguishes a conflict, an unavailable store, and an unknown outcome.
 func (b *Batcher) Write(ctx context.Context, put store.Put) error {
-	p := pending{put: put, done: make(chan error, 1)}
+	p := pendingWrite{put: put, done: make(chan error, 1)}
 	select {
 	case b.queue <- p:
 	default:
@@ -62,19 +62,20 @@
 		case <-ctx.Done():
 			return
 		case first := <-b.queue:
-			batch := b.gather(ctx, first)
+			batch := b.collect(ctx, first)
 			go b.send(ctx, batch)
 		}
 	}
 }
 
-// gather takes what comes within the window; rows stand once in a transaction.
-func (b *Batcher) gather(ctx context.Context, first pending) []pending {
-	batch := []pending{first}
+// collect returns the writes that arrive within the window. A transaction may write a row only once, so further writes to a row are sent on
+// their own.
+func (b *Batcher) collect(ctx context.Context, first pendingWrite) []pendingWrite {
+	batch := []pendingWrite{first}
 	keys := map[store.Key]bool{first.put.Key: true}
 	timer := time.NewTimer(b.window)
 	defer timer.Stop()
-	for len(batch) < batchWrites {
+	for len(batch) < maxBatchWrites {
 		select {
 		case <-ctx.Done():
 			return batch
@@ -82,7 +83,7 @@
 			return batch
 		case p := <-b.queue:
 			if keys[p.put.Key] {
-				go b.send(ctx, []pending{p})
+				go b.send(ctx, []pendingWrite{p})
 				continue
 			}
 			keys[p.put.Key] = true
@@ -92,8 +93,8 @@
 	return batch
 }
 
-// send commits a batch; where one of its writes loses a race, each is tried by itself.
-func (b *Batcher) send(ctx context.Context, batch []pending) {
+// send commits a batch. If it fails because of a conflict, each write is retried in a transaction of its own.
+func (b *Batcher) send(ctx context.Context, batch []pendingWrite) {
 	err := b.commit(ctx, batch)
 	if vaneyoke.CodeOf(err) != vaneyoke.CodeStoreRace || len(batch) == 1 {
 		for _, p := range batch {
@@ -102,16 +103,16 @@
 		return
 	}
 	for _, p := range batch {
-		go func() { p.done <- b.commit(ctx, []pending{p}) }()
+		go func() { p.done <- b.commit(ctx, []pendingWrite{p}) }()
 	}
 }
 
-func (b *Batcher) commit(ctx context.Context, batch []pending) error {
+func (b *Batcher) commit(ctx context.Context, batch []pendingWrite) error {
 	tx := store.Tx{Nonce: store.Nonce(uuid.NewString())}
 	for _, p := range batch {
 		tx.Writes = append(tx.Writes, p.put)
 	}
-	b.calls.Add(1)
+	b.transactions.Add(1)
 	b.writes.Add(int64(len(batch)))
 	return store.CommitSettled(ctx, b.table, tx)
 }
--- a/shell/claims/claims.go
+++ b/shell/claims/claims.go
@@ -14,68 +14,68 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// Partition is the table's partition of all claims.
+// Partition is the partition of the table that holds all claims.
 const Partition = "claim"
 
-// Config holds the bounds of claims.
+// Config holds the timeouts of claims.
 type Config struct {
-	Wait        time.Duration // longest wait for a claim to stand
-	SaveWait    time.Duration // longest wait for an answer to be kept
-	SettleEvery time.Duration // pause between tries to settle a claim whose write has an unknown outcome
+	StoreTimeout   time.Duration // for a claim to be written or revoked
+	SaveTimeout    time.Duration // for an answer to be stored
+	SettleInterval time.Duration // between attempts to settle a claim whose write has an unknown outcome
 }
 
 // Claims runs requests at most once.
 type Claims struct {
-	self   vaneyoke.NodeID
-	config Config
-	table  store.Table
-	batch  *Batcher
-	log    logrus.FieldLogger
-	settle chan settling
-	saving atomic.Int64 // answers that are being kept
+	self         vaneyoke.NodeID
+	config       Config
+	table        store.Table
+	batch        *Batcher
+	log          logrus.FieldLogger
+	unsettled    chan unsettledClaim
+	pendingSaves atomic.Int64 // answers that are being stored
 }
 
-// settling is a claim that has to be revoked if it stands.
-type settling struct {
+// unsettledClaim is a claim whose write has an unknown outcome; it has to be revoked if it was stored.
+type unsettledClaim struct {
 	key    store.Key
 	record claim.Record
 }
 
-const settleQueue = 4096
+const settleQueueLength = 4096
 
-// New returns claims of the given node; Run has to be called for them to be carried out.
+// New returns the Claims of the given node. Writes are sent and claims are settled while Run is running.
 func New(self vaneyoke.NodeID, config Config, table store.Table, batch *Batcher, log logrus.FieldLogger) *Claims {
-	return &Claims{self: self, config: config, table: table, batch: batch, log: log, settle: make(chan settling, settleQueue)}
+	return &Claims{self: self, config: config, table: table, batch: batch, log: log, unsettled: make(chan unsettledClaim, settleQueueLength)}
 }
 
-// Request is one request that may run at most once.
+// Request is a request that must run at most once.
 type Request struct {
 	Workspace  vaneyoke.WorkspaceID
-	Key        string // the caller's own key
+	Key        string // the caller's idempotency key
 	ID         vaneyoke.RequestID
 	BodyDigest string
 }
 
-// Outcome is what running a request came to; exactly one of its members says something.
+// Outcome is the result of running a request. Exactly one of its fields is set.
 type Outcome struct {
-	Answer *claim.Answer
-	NotRun vaneyoke.Code // why the request was certainly not run
-	Lost   bool          // whether the request may have run without an answer
+	Answer     *claim.Answer
+	NotRun     vaneyoke.Code // the reason why the request did not run
+	MayHaveRun bool          // the request may have run, but there is no answer
 }
 
-// Once claims a request, has run called at most once in the whole fleet, and returns the answer.
-// Its errors say truly whether the request was run.
-func (c *Claims) Once(ctx context.Context, req Request, run func(context.Context) Outcome) (claim.Answer, error) {
-	reply := c.newWorker(req, run).work(ctx)
+// RunAtMostOnce claims a request, calls run at most once in the whole fleet, and returns the answer.
+// The code of its error tells reliably whether the request may have run.
+func (c *Claims) RunAtMostOnce(ctx context.Context, req Request, run func(context.Context) Outcome) (claim.Answer, error) {
+	reply := c.newWorker(req, run).execute(ctx)
 	if reply.Code == vaneyoke.CodeOK {
 		return *reply.Answer, nil
 	}
 	return claim.Answer{}, vaneyoke.ErrRetryAfter(reply.Code, reply.RetryAfter, "%s", reply.Code.Info().Text)
 }
 
-// Hold claims a request for good; only where it returns nil may the request be run, and only by its caller.
-func (c *Claims) Hold(ctx context.Context, req Request) error {
-	_, err := c.Once(ctx, req, nil)
+// Acquire claims a request permanently. Only if it returns nil may the request run, and only its caller may run it.
+func (c *Claims) Acquire(ctx context.Context, req Request) error {
+	_, err := c.RunAtMostOnce(ctx, req, nil)
 	return err
 }
 
@@ -88,39 +88,39 @@
 	}
 }
 
-// Saving returns how many answers are being kept whose callers have them already.
-func (c *Claims) Saving() int { return int(c.saving.Load()) }
+// PendingSaves returns the number of answers that were returned to their callers and are still being stored.
+func (c *Claims) PendingSaves() int { return int(c.pendingSaves.Load()) }
 
-// Run sends what is batched and settles claims, until ctx ends.
+// Run sends batched writes and settles claims until ctx ends.
 func (c *Claims) Run(ctx context.Context) {
 	go c.batch.Run(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-c.settle:
+		case s := <-c.unsettled:
 			c.settleOne(ctx, s)
 		}
 	}
 }
 
-// settleOne revokes a claim of this node that was never run, for as long as it takes.
-func (c *Claims) settleOne(ctx context.Context, s settling) {
+// settleOne retries until a claim of this node that was never run is revoked or ctx ends.
+func (c *Claims) settleOne(ctx context.Context, s unsettledClaim) {
 	for ctx.Err() == nil {
 		if err := c.revoke(ctx, s); err == nil {
 			return
 		}
-		pause.For(ctx, c.config.SettleEvery)
+		pause.For(ctx, c.config.SettleInterval)
 	}
 }
 
-// revoke revokes the claim if it stands, and returns an error while that is not known.
-func (c *Claims) revoke(ctx context.Context, s settling) error {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Wait)
+// revoke revokes the claim if it was stored. It returns an error if the outcome is still unknown.
+func (c *Claims) revoke(ctx context.Context, s unsettledClaim) error {
+	ctx, cancel := context.WithTimeout(ctx, c.config.StoreTimeout)
 	defer cancel()
 	existing, err := c.read(ctx, s.key)
 	if vaneyoke.CodeOf(err) == vaneyoke.CodeNotFound {
-		// The late write may still come: a revoked row keeps it out.
+		// The write may still arrive late; a revoked row makes it fail.
 		existing, err = claim.Versioned{Record: s.record}, nil
 	}
 	if err != nil || existing.Request != s.record.Request || existing.Stage != claim.StageClaimed {
@@ -130,7 +130,7 @@
 	s.record.NotRun = vaneyoke.CodeStoreDown
 	err = c.put(ctx, s.key, s.record, existing.Version)
 	if vaneyoke.CodeOf(err) == vaneyoke.CodeStoreRace {
-		return vaneyoke.Err(vaneyoke.CodeStoreDown, "the row changed meanwhile")
+		return vaneyoke.Err(vaneyoke.CodeStoreDown, "the row of the claim changed between read and write")
 	}
 	return err
 }
--- a/shell/claims/doc.go
+++ b/shell/claims/doc.go
@@ -1,2 +1,2 @@
-// Package claims carries out claims against the platform's table, many in one transaction.
+// Package claims runs requests at most once: it claims them in the platform's table and batches the writes into transactions.
 package claims
--- a/shell/failover/mend_test.go
+++ b/shell/failover/cursor_tail_test.go
@@ -10,7 +10,7 @@
 	"github.com/vaneyoke/vaneyoke/decide/journal"
 )
 
-func ids(text string) []vaneyoke.TokenID {
+func tokenIDs(text string) []vaneyoke.TokenID {
 	var list []vaneyoke.TokenID
 	for _, b := range []byte(text) {
 		list = append(list, vaneyoke.TokenID(b))
@@ -18,17 +18,17 @@
 	return list
 }
 
-// TestMend puts a journal and a caller's mark together; each letter is a token.
-func TestMend(t *testing.T) {
+// TestApplyCursorTail applies the tail of a cursor to a journal. Each letter is a token.
+func TestApplyCursorTail(t *testing.T) {
 	cases := map[string]struct {
-		journal string // in the journal, from the run "s1"
-		from    int    // where the mark's tail begins
-		tail    string // in the mark
-		held    string // by the caller
-		run     string // that gave the mark's last token
-		good    bool
+		journal string // text of the journal, from the run "s1"
+		from    int    // position of the cursor's tail
+		tail    string // in the cursor
+		held    string // text that the caller holds
+		run     string // the run of the cursor's last token
+		matches bool
 		text    string
-		resumed bool // whether the journal's run may be read on
+		resumed bool // whether the journal's run can be resumed
 	}{
 		"journal has all":           {"abcd", 4, "", "abcd", "s1", true, "abcd", true},
 		"journal has more":          {"abcdef", 2, "cd", "abcd", "s1", true, "abcdef", true},
@@ -41,15 +41,15 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := &journal.Delta{IDs: ids(tc.journal), Text: []byte(tc.journal), Stream: &journal.Stream{Name: "s1"}}
-			good := mend(d, &cursor.Cursor{
+			d := &journal.Delta{IDs: tokenIDs(tc.journal), Text: []byte(tc.journal), Stream: &journal.Stream{Name: "s1"}}
+			matches := applyCursorTail(d, &cursor.Cursor{
 				Offset: len(tc.held), Digest: cursor.TextDigest([]byte(tc.held)),
-				TailFrom: vaneyoke.Tokens(tc.from), TailIDs: ids(tc.tail), TailTextFrom: tc.from, TailText: []byte(tc.tail),
+				TailFrom: vaneyoke.Tokens(tc.from), TailIDs: tokenIDs(tc.tail), TailTextFrom: tc.from, TailText: []byte(tc.tail),
 				Stream: cursor.StreamDigest(tc.run),
 			})
-			must.EqOp(t, tc.good, good)
+			must.EqOp(t, tc.matches, matches)
 			must.EqOp(t, tc.text, string(d.Text))
-			must.Eq(t, ids(tc.text), d.IDs)
+			must.Eq(t, tokenIDs(tc.text), d.IDs)
 			must.EqOp(t, tc.resumed, d.Stream != nil)
 		})
 	}
--- a/shell/failover/doc.go
+++ b/shell/failover/doc.go
@@ -1,2 +1,3 @@
-// Package failover lets callers that lost their connection go on reading the same answer at any node.
+// Package failover replicates the sessions of a node to backup nodes, so that a caller whose connection broke can resume the same answer
+// at any node.
 package failover
--- a/shell/failover/manager.go
+++ b/shell/failover/manager.go
@@ -18,78 +18,78 @@
 	"github.com/vaneyoke/vaneyoke/shell/relay"
 )
 
-// Peers carries what a node says to the others.
+// Peers makes failover calls to other nodes.
 type Peers interface {
-	// Open reserves a key at a peer for an owner, or returns who owns it.
+	// Open reserves a key at a peer for the owner in entry, or returns the existing entry.
 	Open(ctx context.Context, p membership.Peer, key journal.Key, entry journal.Entry) (journal.Entry, bool, error)
-	// Push adds deltas to the journals that a peer keeps.
+	// Push appends deltas to the journals at a peer, and returns an outcome for each.
 	Push(ctx context.Context, p membership.Peer, deltas []journal.Delta) ([]journal.PushOutcome, error)
-	// TakeOver makes owner the owner of a session, and returns what the peer holds of it.
+	// TakeOver transfers a session to owner and returns it as the peer holds it: from its own session if fromOwner is set, else from its journal.
 	TakeOver(ctx context.Context, p membership.Peer, key journal.Key, owner vaneyoke.NodeID, fromOwner bool) (journal.Delta, bool, error)
 }
 
-// Claims holds requests that may run at most once.
+// Claims claims requests that must run at most once.
 type Claims interface {
-	// Hold claims a request for good; only where it returns nil may the request be run.
-	Hold(ctx context.Context, req claims.Request) error
+	// Acquire claims a request permanently. The request may run only if it returns nil.
+	Acquire(ctx context.Context, req claims.Request) error
 }
 
-// Fleet says what the node knows of the others and of the upstreams.
+// Fleet gives access to the known nodes and upstreams.
 type Fleet interface {
-	// View returns the nodes that take part.
+	// View returns the current members.
 	View() *membership.View
-	// Upstream returns an upstream of the present configuration.
+	// Upstream returns an upstream of the current configuration.
 	Upstream(id vaneyoke.UpstreamID) (vaneyoke.Upstream, bool)
 }
 
-// Config holds the bounds of failover.
+// Config holds the limits of replication and of the retention of sessions.
 type Config struct {
 	PushPeriod time.Duration // between pushes to a backup
-	AckWait    time.Duration // longest wait for a backup before another is tried
-	Linger     time.Duration // how long a session runs on after its caller has gone
-	Retention  time.Duration // how long a finished answer is kept
-	TailIDs    int           // most tokens that a cursor carries
+	AckTimeout time.Duration // time after which a backup that has not acknowledged is replaced
+	Linger     time.Duration // how long a session keeps running without readers
+	Retention  time.Duration // how long a finished answer is kept without readers
+	MaxTailIDs int           // maximum number of token IDs in a cursor
 }
 
-// Manager keeps the node's sessions whose callers may come back.
+// Manager keeps the resumable sessions of this node.
 type Manager struct {
 	self       vaneyoke.NodeID
 	dataCentre vaneyoke.DataCentreID
 	config     Config
-	ring       *cursor.Keyring
+	keyring    *cursor.Keyring
 	peers      Peers
 	fleet      Fleet
 	relay      *relay.Relay
 	claims     Claims
 	metrics    *Metrics
 	log        logrus.FieldLogger
-	kick       chan struct{} // asks for a push at once
+	pushNow    chan struct{} // triggers a push before the period ends
 
-	mu       sync.Mutex
-	sessions map[journal.Key]*session
-	handles  uint64 // the last number given to a session
+	mu         sync.Mutex
+	sessions   map[journal.Key]*session
+	lastHandle uint64 // number of the latest handle
 }
 
-// New returns a manager; Run has to be called for its journals to be pushed.
-func New(self vaneyoke.NodeID, dataCentre vaneyoke.DataCentreID, config Config, ring *cursor.Keyring, peers Peers, fleet Fleet, r *relay.Relay, c Claims, metrics *Metrics, log logrus.FieldLogger) *Manager {
+// New returns a Manager. Journals are pushed while Run is running.
+func New(self vaneyoke.NodeID, dataCentre vaneyoke.DataCentreID, config Config, keyring *cursor.Keyring, peers Peers, fleet Fleet, r *relay.Relay, c Claims, metrics *Metrics, log logrus.FieldLogger) *Manager {
 	return &Manager{
-		self: self, dataCentre: dataCentre, config: config, ring: ring, peers: peers, fleet: fleet, relay: r, claims: c, metrics: metrics, log: log,
-		kick:     make(chan struct{}, 1),
+		self: self, dataCentre: dataCentre, config: config, keyring: keyring, peers: peers, fleet: fleet, relay: r, claims: c, metrics: metrics, log: log,
+		pushNow:  make(chan struct{}, 1),
 		sessions: map[journal.Key]*session{},
 	}
 }
 
-// Metrics counts what failover does.
+// Metrics holds the counters of failover.
 type Metrics struct {
-	TakenOver  *expvar.Map // sessions taken over, by where from
+	TakenOver  *expvar.Map // sessions taken over, by source
 	Superseded *expvar.Int // sessions that another node took over
 	Lost       *expvar.Int // answers that could not be rebuilt
 	Pushes     *expvar.Int
-	PushBytes  *expvar.Int // token text and ids pushed
-	NoBackup   *expvar.Int // sessions that had to go on without a backup
+	PushBytes  *expvar.Int // text and token IDs
+	NoBackup   *expvar.Int // times that no node was available as a backup
 }
 
-// NewMetrics returns counters in vars.
+// NewMetrics returns metrics whose counters are registered in vars.
 func NewMetrics(vars *expvar.Map) *Metrics {
 	m := &Metrics{
 		TakenOver: new(expvar.Map).Init(), Superseded: new(expvar.Int), Lost: new(expvar.Int),
@@ -104,67 +104,67 @@
 	return m
 }
 
-// Ask is a request whose caller may come back.
-type Ask struct {
-	Request *vaneyoke.Request
-	Body    []byte
-	Key     string // the caller's key for the request, "" where it will not come back
-	Cursor  string // the last mark that the caller holds, "" for the answer from its beginning
+// OpenRequest is a request to start or to resume an answer.
+type OpenRequest struct {
+	Request        *vaneyoke.Request
+	Body           []byte
+	IdempotencyKey string // "" if the request cannot be resumed
+	Cursor         string // the last cursor that the caller holds, "" to read from the beginning
 }
 
-// Open starts the request, or finds the answer that was begun before.
-func (m *Manager) Open(ctx context.Context, ask Ask) (*Reader, error) {
-	if ask.Key == "" {
-		if ask.Cursor != "" {
+// Open starts a request, or resumes the answer that an earlier request with the same key started.
+func (m *Manager) Open(ctx context.Context, req OpenRequest) (*Reader, error) {
+	if req.IdempotencyKey == "" {
+		if req.Cursor != "" {
 			return nil, vaneyoke.ErrField(vaneyoke.CodeBadRequest, "header.Last-Event-ID", "needs an Idempotency-Key")
 		}
-		return &Reader{manager: m, relay: m.relay.Generate(ctx, ask.Request)}, nil
+		return &Reader{manager: m, relay: m.relay.Generate(ctx, req.Request)}, nil
 	}
-	mark, err := m.readCursor(ask)
+	cur, err := m.decodeCursor(req)
 	if err != nil {
 		return nil, err
 	}
-	key := journal.Key{Workspace: ask.Request.Workspace, Key: ask.Key}
-	digest := ask.digest()
+	key := journal.Key{Workspace: req.Request.Workspace, Key: req.IdempotencyKey}
+	digest := req.digest()
 	if s := m.find(key); s != nil {
-		return s.read(digest, mark)
+		return s.read(digest, cur)
 	}
-	s, err := m.openFleetWide(ctx, ask, key, digest, mark)
+	s, err := m.openFleetWide(ctx, req, key, digest, cur)
 	if err != nil {
 		return nil, err
 	}
-	return s.read(digest, mark)
+	return s.read(digest, cur)
 }
 
-// readCursor checks the caller's mark and that it belongs to the caller.
-func (m *Manager) readCursor(ask Ask) (*cursor.Cursor, error) {
-	if ask.Cursor == "" {
+// decodeCursor decodes the caller's cursor and checks that it belongs to the caller's workspace. It returns nil if there is none.
+func (m *Manager) decodeCursor(req OpenRequest) (*cursor.Cursor, error) {
+	if req.Cursor == "" {
 		return nil, nil
 	}
-	mark, err := m.ring.Decode(ask.Cursor)
+	cur, err := m.keyring.Decode(req.Cursor)
 	if err != nil {
 		return nil, err
 	}
-	if mark.Workspace != ask.Request.Workspace {
+	if cur.Workspace != req.Request.Workspace {
 		return nil, vaneyoke.Err(vaneyoke.CodeForbidden, "the cursor belongs to another workspace")
 	}
-	return &mark, nil
+	return &cur, nil
 }
 
-// digest tells one request from another, so that a key is not used for two, nor a request that may run once for one that may run again.
-func (a Ask) digest() string {
+// digest identifies the request. It detects a key that is used for two requests, or for a repeatable and a non-repeatable one.
+func (r OpenRequest) digest() string {
 	h := sha256.New()
-	_, _ = fmt.Fprintf(h, "%d %t\x00", a.Request.Endpoint, a.Request.Repeatable)
-	_, _ = h.Write(a.Body)
+	_, _ = fmt.Fprintf(h, "%d %t\x00", r.Request.Endpoint, r.Request.Repeatable)
+	_, _ = h.Write(r.Body)
 	return string(h.Sum(nil))
 }
 
-// handle returns a number that no other session of the node has.
-func (m *Manager) handle() journal.Handle {
+// newHandle returns a handle that is unique among the sessions of this node.
+func (m *Manager) newHandle() journal.Handle {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.handles++
-	return journal.Handle{Owner: m.self, Number: m.handles}
+	m.lastHandle++
+	return journal.Handle{Owner: m.self, Number: m.lastHandle}
 }
 
 func (m *Manager) find(key journal.Key) *session {
@@ -173,7 +173,7 @@
 	return m.sessions[key]
 }
 
-// add registers a session; where another was registered meanwhile, that one is returned.
+// add registers a session and returns it. If the key is already registered, it returns the registered session instead.
 func (m *Manager) add(s *session) *session {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,8 +184,8 @@
 	return s
 }
 
-// forget takes a session off the list; nothing of it is pushed any more.
-func (m *Manager) forget(s *session) {
+// remove deletes a session from the manager. Nothing of it is pushed any more.
+func (m *Manager) remove(s *session) {
 	m.mu.Lock()
 	if m.sessions[s.key] == s {
 		delete(m.sessions, s.key)
@@ -193,24 +193,24 @@
 	m.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left = true
+	s.released = true
 	s.changed.Broadcast()
 }
 
-// GiveUp ends a session here and returns it whole for its next owner; a finished one is returned as it is.
+// GiveUp ends a running session on this node and returns it in full for its next owner. A finished session is returned and kept.
 func (m *Manager) GiveUp(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool) {
 	s := m.find(key)
 	if s == nil {
 		return journal.Delta{}, false
 	}
 	if s.relay.Running() {
-		m.forget(s)
+		m.remove(s)
 		m.metrics.Superseded.Add(1)
-		d := s.whole(s.relay.HandOver())
+		d := s.fullDelta(s.relay.HandOver())
 		d.Entry.Owner = owner
 		d.Entry.Epoch++
 		m.log.WithFields(logrus.Fields{"request": d.Entry.Request, "peer": owner.VM}).Info("session_given_up")
 		return d, true
 	}
-	return s.whole(s.relay.Save()), true
+	return s.fullDelta(s.relay.Save()), true
 }
--- a/shell/failover/open.go
+++ b/shell/failover/open.go
@@ -17,50 +17,50 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// homesTimeout bounds the telling of homes that a session has moved.
-const homesTimeout = 2 * time.Second
+// directoryTimeout limits an update of the session directory.
+const directoryTimeout = 2 * time.Second
 
-// Sources of sessions that were taken over, as metrics name them.
+// Keys of Metrics.TakenOver.
 const (
 	fromOwner   = "owner"
 	fromJournal = "journal"
 )
 
-// openFleetWide reserves the key at its homes; where it was used before, the session is taken over.
-func (m *Manager) openFleetWide(ctx context.Context, ask Ask, key journal.Key, digest string, mark *cursor.Cursor) (*session, error) {
-	entry := journal.Entry{Request: ask.Request.ID, Owner: m.self, Epoch: 1, BodyDigest: digest}
+// openFleetWide reserves the key at its directory peers, and starts a new session or takes over the existing one.
+func (m *Manager) openFleetWide(ctx context.Context, req OpenRequest, key journal.Key, digest string, cur *cursor.Cursor) (*session, error) {
+	entry := journal.Entry{Request: req.Request.ID, Owner: m.self, Epoch: 1, BodyDigest: digest}
 	if backup, ok := m.backup(nil); ok {
 		entry.Backup = backup.VM
 	}
-	if mark != nil {
-		entry.Request, entry.Epoch = mark.Request, 0 // only asks who owns it
+	if cur != nil {
+		entry.Request, entry.Epoch = cur.Request, 0 // epoch 0 queries the owner without reserving the key
 	}
 	existing, err := m.reserve(ctx, key, entry)
 	if err != nil {
 		return nil, err
 	}
-	if len(existing) == 0 && mark == nil {
-		return m.startFirst(ctx, ask, key, entry)
+	if len(existing) == 0 && cur == nil {
+		return m.startNew(ctx, req, key, entry)
 	}
 	for _, e := range existing {
 		if e.BodyDigest != digest {
 			return nil, vaneyoke.ErrField(vaneyoke.CodeConflict, "header.Idempotency-Key", "was used for another request")
 		}
 	}
-	d, found := m.takeOver(ctx, key, existing, mark)
+	d, found := m.takeOver(ctx, key, existing, cur)
 	if !found {
-		return m.startAnew(ctx, ask, key, existing, mark, entry)
+		return m.restart(ctx, req, key, existing, cur, entry)
 	}
 	if d.Entry.BodyDigest != digest {
 		return nil, vaneyoke.ErrField(vaneyoke.CodeConflict, "header.Idempotency-Key", "was used for another request")
 	}
-	return m.restore(ctx, ask, key, d, mark)
+	return m.restore(ctx, req, key, d, cur)
 }
 
-// reserve opens the key at each of its homes in turn, and returns the entries of those that knew it.
+// reserve opens the key at each of its directory peers in turn, and returns the entries that already existed.
 func (m *Manager) reserve(ctx context.Context, key journal.Key, entry journal.Entry) ([]journal.Entry, error) {
 	var existing []journal.Entry
-	for _, p := range m.fleet.View().DirectoryPeers(homeKey(key)) {
+	for _, p := range m.fleet.View().DirectoryPeers(directoryKey(key)) {
 		e, found, err := m.peers.Open(ctx, p, key, entry)
 		if err != nil {
 			m.log.WithFields(logrus.Fields{"peer": p.VM, "error": err}).Warn("open_failed")
@@ -73,30 +73,30 @@
 	return existing, ctx.Err()
 }
 
-// startFirst starts a request whose key is new; one that may run at most once has to be claimed in the table besides.
-func (m *Manager) startFirst(ctx context.Context, ask Ask, key journal.Key, entry journal.Entry) (*session, error) {
-	if !ask.Request.Repeatable {
-		err := m.claims.Hold(ctx, claims.Request{
+// startNew starts a request whose key is new. A request that must run at most once is also claimed in the store.
+func (m *Manager) startNew(ctx context.Context, req OpenRequest, key journal.Key, entry journal.Entry) (*session, error) {
+	if !req.Request.Repeatable {
+		err := m.claims.Acquire(ctx, claims.Request{
 			Workspace: key.Workspace, Key: key.Key, ID: entry.Request, BodyDigest: hex.EncodeToString([]byte(entry.BodyDigest)),
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	return m.start(ctx, ask, key, entry), nil
+	return m.start(ctx, req, key, entry), nil
 }
 
-// tellHomes tells a session's homes that its owner or its backup has changed.
-func (m *Manager) tellHomes(key journal.Key, entry journal.Entry) {
-	ctx, cancel := context.WithTimeout(context.Background(), homesTimeout)
+// updateDirectory sends the changed owner or backup of a session to its directory peers.
+func (m *Manager) updateDirectory(key journal.Key, entry journal.Entry) {
+	ctx, cancel := context.WithTimeout(context.Background(), directoryTimeout)
 	defer cancel()
 	if _, err := m.reserve(ctx, key, entry); err != nil {
 		m.log.WithFields(logrus.Fields{"request": entry.Request, "error": err}).Warn("homes_not_told")
 	}
 }
 
-func (m *Manager) start(ctx context.Context, ask Ask, key journal.Key, entry journal.Entry) *session {
-	s := newSession(m, key, entry, m.relay.Generate(ctx, ask.Request))
+func (m *Manager) start(ctx context.Context, req OpenRequest, key journal.Key, entry journal.Entry) *session {
+	s := newSession(m, key, entry, m.relay.Generate(ctx, req.Request))
 	kept := m.add(s)
 	if kept != s {
 		s.relay.Abandon()
@@ -104,13 +104,14 @@
 	return kept
 }
 
-// startAnew runs a request whose earlier session nobody holds, if that breaks no promise.
-func (m *Manager) startAnew(ctx context.Context, ask Ask, key journal.Key, existing []journal.Entry, mark *cursor.Cursor, entry journal.Entry) (*session, error) {
-	if mark != nil {
+// restart runs a request again whose earlier session no node holds. It refuses if the caller holds a part of the answer, or if the request must
+// run at most once.
+func (m *Manager) restart(ctx context.Context, req OpenRequest, key journal.Key, existing []journal.Entry, cur *cursor.Cursor, entry journal.Entry) (*session, error) {
+	if cur != nil {
 		m.metrics.Lost.Add(1)
 		return nil, errLost()
 	}
-	if !ask.Request.Repeatable {
+	if !req.Request.Repeatable {
 		return nil, vaneyoke.Err(vaneyoke.CodeMayHaveRun, "the request was begun at %s, which cannot be asked", existing[0].Owner.VM)
 	}
 	for _, e := range existing {
@@ -120,13 +121,13 @@
 	if _, err := m.reserve(ctx, key, entry); err != nil {
 		return nil, err
 	}
-	ask.Request.ID = entry.Request
-	return m.start(ctx, ask, key, entry), nil
+	req.Request.ID = entry.Request
+	return m.start(ctx, req, key, entry), nil
 }
 
-// takeOver asks the owner for the session, and then the journals.
-func (m *Manager) takeOver(ctx context.Context, key journal.Key, existing []journal.Entry, mark *cursor.Cursor) (journal.Delta, bool) {
-	for _, p := range m.owners(existing, mark) {
+// takeOver requests the session from its owner, and from the journals if no owner returns it.
+func (m *Manager) takeOver(ctx context.Context, key journal.Key, existing []journal.Entry, cur *cursor.Cursor) (journal.Delta, bool) {
+	for _, p := range m.ownerCandidates(existing, cur) {
 		d, ok, err := m.peers.TakeOver(ctx, p, key, m.self, true)
 		if err != nil {
 			m.log.WithFields(logrus.Fields{"peer": p.VM, "error": err}).Warn("owner_unreachable")
@@ -138,7 +139,7 @@
 	}
 	var best journal.Delta
 	found := false
-	for _, p := range m.keepers(key, existing, mark) {
+	for _, p := range m.journalCandidates(key, existing, cur) {
 		d, ok, err := m.peers.TakeOver(ctx, p, key, m.self, false)
 		if err != nil {
 			m.log.WithFields(logrus.Fields{"peer": p.VM, "error": err}).Warn("journal_unreachable")
@@ -153,7 +154,7 @@
 	return best, found
 }
 
-// better prefers finished sessions, then later owners, then longer answers.
+// better reports whether a is preferred to b: finished sessions first, then higher epochs, then longer answers.
 func better(a, b journal.Delta) bool {
 	if (a.Result != nil) != (b.Result != nil) {
 		return a.Result != nil
@@ -164,38 +165,38 @@
 	return len(a.IDs) > len(b.IDs)
 }
 
-// owners returns the nodes that may own the session.
-func (m *Manager) owners(existing []journal.Entry, mark *cursor.Cursor) []membership.Peer {
-	var names []vaneyoke.VMID
+// ownerCandidates returns the known nodes that may own the session.
+func (m *Manager) ownerCandidates(existing []journal.Entry, cur *cursor.Cursor) []membership.Peer {
+	var vms []vaneyoke.VMID
 	for _, e := range existing {
-		names = append(names, e.Owner.VM)
+		vms = append(vms, e.Owner.VM)
 	}
-	if mark != nil {
-		names = append(names, mark.Owner)
+	if cur != nil {
+		vms = append(vms, cur.Owner)
 	}
-	return m.peersOf(names)
+	return m.peersOf(vms)
 }
 
-// keepers returns the nodes that may hold the session's journal.
-func (m *Manager) keepers(key journal.Key, existing []journal.Entry, mark *cursor.Cursor) []membership.Peer {
-	var names []vaneyoke.VMID
+// journalCandidates returns the known nodes that may hold the session's journal.
+func (m *Manager) journalCandidates(key journal.Key, existing []journal.Entry, cur *cursor.Cursor) []membership.Peer {
+	var vms []vaneyoke.VMID
 	for _, e := range existing {
-		names = append(names, e.Backup)
+		vms = append(vms, e.Backup)
 	}
-	if mark != nil && mark.Backup != "" {
-		names = append(names, mark.Backup)
+	if cur != nil && cur.Backup != "" {
+		vms = append(vms, cur.Backup)
 	}
-	for _, p := range m.fleet.View().DirectoryPeers(homeKey(key)) {
-		names = append(names, p.VM)
+	for _, p := range m.fleet.View().DirectoryPeers(directoryKey(key)) {
+		vms = append(vms, p.VM)
 	}
-	return m.peersOf(names)
+	return m.peersOf(vms)
 }
 
-// peersOf returns the known nodes among names, each once.
-func (m *Manager) peersOf(names []vaneyoke.VMID) []membership.Peer {
+// peersOf returns the known nodes among vms without duplicates.
+func (m *Manager) peersOf(vms []vaneyoke.VMID) []membership.Peer {
 	seen := map[vaneyoke.VMID]bool{}
 	var peers []membership.Peer
-	for _, vm := range names {
+	for _, vm := range vms {
 		p, ok := m.fleet.View().Find(vm)
 		if ok && !seen[vm] {
 			peers = append(peers, p)
@@ -205,15 +206,15 @@
 	return peers
 }
 
-// restore goes on with a session that was taken over.
-func (m *Manager) restore(ctx context.Context, ask Ask, key journal.Key, d journal.Delta, mark *cursor.Cursor) (*session, error) {
-	if mark != nil && !mend(&d, mark) {
+// restore continues a session that was taken over.
+func (m *Manager) restore(ctx context.Context, req OpenRequest, key journal.Key, d journal.Delta, cur *cursor.Cursor) (*session, error) {
+	if cur != nil && !applyCursorTail(&d, cur) {
 		m.metrics.Lost.Add(1)
 		return nil, errLost()
 	}
-	ask.Request.ID = d.Entry.Request
+	req.Request.ID = d.Entry.Request
 	d.Entry.Owner = m.self
-	s := newSession(m, key, d.Entry, m.relay.Restore(ctx, ask.Request, m.saved(d)))
+	s := newSession(m, key, d.Entry, m.relay.Restore(ctx, req.Request, m.savedFrom(d)))
 	m.log.WithFields(logrus.Fields{
 		"request": d.Entry.Request, "epoch": uint64(d.Entry.Epoch), "tokens": len(d.IDs), "finished": d.Result != nil,
 	}).Info("session_taken_over")
@@ -222,29 +223,30 @@
 		s.relay.Supersede()
 		return kept, nil
 	}
-	go m.tellHomes(key, s.owned())
-	m.kickPush()
+	go m.updateDirectory(key, s.currentEntry())
+	m.triggerPush()
 	return kept, nil
 }
 
-// mend adds the tokens that only the caller's mark holds, and reports whether the answer is what the caller saw.
-func mend(d *journal.Delta, mark *cursor.Cursor) bool {
+// applyCursorTail appends the tokens that only the caller's cursor holds, and reports whether the resulting text matches the text that the
+// caller holds.
+func applyCursorTail(d *journal.Delta, cur *cursor.Cursor) bool {
 	held := len(d.IDs)
-	if int(mark.TailFrom) <= len(d.IDs) && mark.TailTextFrom <= len(d.Text) {
-		if skip := len(d.IDs) - int(mark.TailFrom); skip < len(mark.TailIDs) {
-			d.IDs = append(d.IDs[:len(d.IDs):len(d.IDs)], mark.TailIDs[skip:]...)
+	if int(cur.TailFrom) <= len(d.IDs) && cur.TailTextFrom <= len(d.Text) {
+		if skip := len(d.IDs) - int(cur.TailFrom); skip < len(cur.TailIDs) {
+			d.IDs = append(d.IDs[:len(d.IDs):len(d.IDs)], cur.TailIDs[skip:]...)
 		}
-		if skip := len(d.Text) - mark.TailTextFrom; skip < len(mark.TailText) {
-			d.Text = append(d.Text[:len(d.Text):len(d.Text)], mark.TailText[skip:]...)
+		if skip := len(d.Text) - cur.TailTextFrom; skip < len(cur.TailText) {
+			d.Text = append(d.Text[:len(d.Text):len(d.Text)], cur.TailText[skip:]...)
 		}
 	}
-	if added := len(d.IDs) - held; added > 0 && cursor.StreamDigest(streamName(d)) != mark.Stream {
-		d.Stream = nil // the tail came from another run, whose tokens the journal's run does not go on from
+	if added := len(d.IDs) - held; added > 0 && cursor.StreamDigest(streamName(d)) != cur.Stream {
+		d.Stream = nil // the tail is from another run, so the journal's run does not continue it
 	}
-	return mark.Offset <= len(d.Text) && cursor.TextDigest(d.Text[:mark.Offset]) == mark.Digest
+	return cur.Offset <= len(d.Text) && cursor.TextDigest(d.Text[:cur.Offset]) == cur.Digest
 }
 
-// streamName returns the name of a session's run on an engine, "" where it has none.
+// streamName returns the name of the session's run on an engine, or "" if there is none.
 func streamName(d *journal.Delta) string {
 	if d.Stream == nil {
 		return ""
@@ -252,8 +254,8 @@
 	return d.Stream.Name
 }
 
-// saved returns a journal's session as the relay goes on with it.
-func (m *Manager) saved(d journal.Delta) relay.Saved {
+// savedFrom converts the session of a journal to the state from which the relay continues it.
+func (m *Manager) savedFrom(d journal.Delta) relay.Saved {
 	saved := relay.Saved{
 		Epoch:    uint64(d.Entry.Epoch),
 		Restored: generation.Restored{Prompt: d.Prompt, IDs: d.IDs, Text: d.Text},
--- a/shell/failover/push.go
+++ b/shell/failover/push.go
@@ -11,15 +11,15 @@
 	"github.com/vaneyoke/vaneyoke/decide/membership"
 )
 
-// kickPush asks for a push before the period is over.
-func (m *Manager) kickPush() {
+// triggerPush requests a push before the push period ends.
+func (m *Manager) triggerPush() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.pushNow <- struct{}{}:
 	default:
 	}
 }
 
-// Run pushes journals to their backups, and forgets sessions that are over, until ctx ends.
+// Run pushes journals to their backups and removes expired sessions until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.config.PushPeriod)
 	defer ticker.Stop()
@@ -29,24 +29,24 @@
 			return
 		case <-ticker.C:
 			m.sweep(time.Now())
-		case <-m.kick:
+		case <-m.pushNow:
 		}
 		m.pushAll(ctx)
 	}
 }
 
-// batch is what goes to one backup at once.
+// batch holds the deltas that are pushed to one backup in one call.
 type batch struct {
 	to       membership.Peer
 	sessions []*session
 	deltas   []journal.Delta
 }
 
-// pushAll sends to each backup what it does not hold yet; it does not wait for the answers.
+// pushAll starts one push to each backup with the deltas that it lacks, and returns without waiting for the responses.
 func (m *Manager) pushAll(ctx context.Context) {
 	batches := map[string]*batch{}
 	for _, s := range m.all() {
-		d, to, ok := s.pending()
+		d, to, ok := s.nextDelta()
 		if !ok {
 			continue
 		}
@@ -82,31 +82,31 @@
 	if err != nil {
 		m.log.WithFields(logrus.Fields{"peer": b.to.VM, "sessions": len(b.sessions), "error": err}).Warn("push_failed")
 		for _, s := range b.sessions {
-			s.pushFailed(b.to.VM)
+			s.recordPushFailure(b.to.VM)
 		}
 		return
 	}
 	for i, s := range b.sessions {
 		m.metrics.PushBytes.Add(int64(len(b.deltas[i].Text) + idWireBytes*len(b.deltas[i].IDs)))
-		s.pushed(b.deltas[i], b.to.VM, states[i])
+		s.recordPush(b.deltas[i], b.to.VM, states[i])
 		if states[i] == journal.PushSuperseded {
 			m.supersede(s)
 		}
 	}
 }
 
-// idWireBytes is about what a token id takes in a push.
+// idWireBytes is the approximate encoded size of a token ID in a push.
 const idWireBytes = 4
 
-// supersede ends a session that another node goes on with.
+// supersede ends a session that another node has taken over.
 func (m *Manager) supersede(s *session) {
-	m.forget(s)
+	m.remove(s)
 	m.metrics.Superseded.Add(1)
 	m.log.WithField("request", s.entry.Request).Warn("session_superseded")
 	s.relay.Supersede()
 }
 
-// sweep ends sessions whose callers stay away, and forgets finished ones.
+// sweep abandons sessions whose callers have been away longer than Linger, and removes finished sessions after Retention.
 func (m *Manager) sweep(now time.Time) {
 	for _, s := range m.all() {
 		idle := s.idleFor(now)
@@ -114,12 +114,12 @@
 		case s.relay.Running() && idle > m.config.Linger:
 			s.relay.Abandon()
 		case !s.relay.Running() && idle > m.config.Retention:
-			m.forget(s)
+			m.remove(s)
 		}
 	}
 }
 
-// Running returns how many of the node's sessions have callers that may come back.
+// Running returns the number of resumable sessions of this node that are still running.
 func (m *Manager) Running() int {
 	running := 0
 	for _, s := range m.all() {
@@ -130,24 +130,24 @@
 	return running
 }
 
-// Flush waits until the backups hold the finished answers, or ctx ends.
+// Flush waits until the backups hold all finished answers, for at most AckTimeout or until ctx ends.
 func (m *Manager) Flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, m.config.AckWait)
+	ctx, cancel := context.WithTimeout(ctx, m.config.AckTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
 	for _, s := range m.all() {
 		if !s.relay.Running() {
-			wait.Go(func() { s.waitUntil(ctx, s.sealed) })
+			wait.Go(func() { s.waitUntil(ctx, s.isReplicated) })
 		}
 	}
 	wait.Wait()
 }
 
-// Release ends all sessions here, so that what the backups hold of them stands, and other nodes go on from there. It returns
-// how many were running.
+// Release ends all sessions on this node, so that other nodes can resume them from the state that the backups hold. It returns the number
+// of sessions that were running.
 func (m *Manager) Release() (running int) {
 	for _, s := range m.all() {
-		m.forget(s)
+		m.remove(s)
 		if s.relay.Running() {
 			running++
 			s.relay.LeaveToNext()
--- a/shell/failover/reader.go
+++ b/shell/failover/reader.go
@@ -15,26 +15,26 @@
 type Reader struct {
 	manager *Manager
 	relay   *relay.Session
-	session *session // nil where the caller will not come back
-	offset  int      // bytes that the caller holds
+	session *session // nil if the request cannot be resumed
+	offset  int      // bytes of text that the caller holds
 	digest  xxhash.Digest
 }
 
-// Piece is new text of an answer with the mark that goes with it.
-type Piece struct {
+// Chunk is new text of an answer with the cursor at its end.
+type Chunk struct {
 	Text   []byte
-	Cursor string // "" where the caller will not come back
+	Cursor string // "" if the request cannot be resumed
 }
 
-// read returns a reader for a caller that holds what mark says, nil for nothing.
-func (s *session) read(bodyDigest string, mark *cursor.Cursor) (*Reader, error) {
+// read returns a reader that starts at cur, or at the beginning of the answer if cur is nil.
+func (s *session) read(bodyDigest string, cur *cursor.Cursor) (*Reader, error) {
 	if s.entry.BodyDigest != bodyDigest {
 		return nil, vaneyoke.ErrField(vaneyoke.CodeConflict, "header.Idempotency-Key", "was used for another request")
 	}
 	r := &Reader{manager: s.manager, relay: s.relay, session: s}
 	r.digest.Reset()
-	if mark != nil {
-		if err := r.skip(mark); err != nil {
+	if cur != nil {
+		if err := r.seekTo(cur); err != nil {
 			return nil, err
 		}
 	}
@@ -42,15 +42,16 @@
 	return r, nil
 }
 
-// skip goes to where the caller stopped; an answer that differs from what the caller holds is told as lost.
-func (r *Reader) skip(mark *cursor.Cursor) error {
+// seekTo moves the reader to the position of cur. It returns CodeAnswerLost if the answer differs from the one that the caller holds,
+// or is shorter.
+func (r *Reader) seekTo(cur *cursor.Cursor) error {
 	text := r.relay.Save().Restored.Text
-	if mark.Request != r.session.entry.Request || mark.Offset > len(text) || cursor.TextDigest(text[:mark.Offset]) != mark.Digest {
+	if cur.Request != r.session.entry.Request || cur.Offset > len(text) || cursor.TextDigest(text[:cur.Offset]) != cur.Digest {
 		r.manager.metrics.Lost.Add(1)
 		return errLost()
 	}
-	r.offset = mark.Offset
-	_, _ = r.digest.Write(text[:mark.Offset])
+	r.offset = cur.Offset
+	_, _ = r.digest.Write(text[:cur.Offset])
 	return nil
 }
 
@@ -58,48 +59,49 @@
 	return vaneyoke.Err(vaneyoke.CodeAnswerLost, "the rest of the answer is no longer held")
 }
 
-// Read waits for new text or the end of the answer; the result is zero until the last text has been read.
-func (r *Reader) Read(ctx context.Context) (Piece, relay.Result, error) {
+// Read waits for new text or the end of the answer. The result is zero until all text has been read.
+func (r *Reader) Read(ctx context.Context) (Chunk, relay.Result, error) {
 	text, result, err := r.relay.Read(ctx, r.offset)
 	if err != nil || len(text) == 0 {
-		return Piece{}, result, err
+		return Chunk{}, result, err
 	}
 	r.offset += len(text)
-	piece := Piece{Text: text}
+	chunk := Chunk{Text: text}
 	if r.session == nil {
-		return piece, result, nil
+		return chunk, result, nil
 	}
 	_, _ = r.digest.Write(text)
-	mark, ok := r.session.cursor(ctx, r.offset, r.digest.Sum64())
+	encoded, ok := r.session.encodeCursor(ctx, r.offset, r.digest.Sum64())
 	if !ok {
-		return Piece{}, relay.Result{Ended: true, Code: vaneyoke.CodeInterrupted}, nil
+		return Chunk{}, relay.Result{Ended: true, Code: vaneyoke.CodeInterrupted}, nil
 	}
-	piece.Cursor = mark
-	return piece, result, nil
+	chunk.Cursor = encoded
+	return chunk, result, nil
 }
 
-// Resumed reports whether the caller holds a part of the answer already.
+// Resumed reports whether the caller already holds a part of the answer.
 func (r *Reader) Resumed() bool { return r.session != nil && r.offset > 0 }
 
-// Session returns the session that is read.
+// Session returns the relay session that the reader reads.
 func (r *Reader) Session() *relay.Session { return r.relay }
 
-// Seal waits until the backup holds the whole answer, as long as that takes no longer than a backup may.
-func (r *Reader) Seal(ctx context.Context) {
+// WaitReplicated waits until the backup holds the whole answer, for at most AckTimeout.
+func (r *Reader) WaitReplicated(ctx context.Context) {
 	if r.session == nil {
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, r.manager.config.AckWait)
+	limit, cancel := context.WithTimeout(ctx, r.manager.config.AckTimeout)
 	defer cancel()
-	r.session.waitUntil(limit, r.session.sealed)
+	r.session.waitUntil(limit, r.session.isReplicated)
 }
 
-// Close ends the reading; gone says that the caller left before the end of the answer.
-func (r *Reader) Close(gone bool) {
+// Close detaches the reader. If disconnected is set, the caller left before the end of the answer, and a request that cannot be resumed is
+// abandoned.
+func (r *Reader) Close(disconnected bool) {
 	switch {
 	case r.session != nil:
 		r.session.detach()
-	case gone:
+	case disconnected:
 		r.relay.Abandon()
 	}
 }
@@ -114,15 +116,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers--
-	s.idle = time.Now()
+	s.idleSince = time.Now()
 }
 
-// idleFor returns how long nobody has read the session.
+// idleFor returns the time since the last reader left, and 0 while there are readers.
 func (s *session) idleFor(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.readers > 0 {
 		return 0
 	}
-	return now.Sub(s.idle)
+	return now.Sub(s.idleSince)
 }
--- a/shell/failover/session.go
+++ b/shell/failover/session.go
@@ -12,7 +12,7 @@
 	"github.com/vaneyoke/vaneyoke/shell/relay"
 )
 
-// session is one of the node's own sessions, with what its backup is known to hold.
+// session is a session owned by this node, together with the state that its backup has acknowledged.
 type session struct {
 	manager *Manager
 	key     journal.Key
@@ -20,105 +20,107 @@
 	handle  journal.Handle
 	relay   *relay.Session
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	backup  membership.Peer
-	backed  bool // whether there is a backup
-	left    bool // whether the node has left the session to others, and pushes nothing of it any more
-	acked   acked
-	tried   []vaneyoke.VMID // backups that failed
-	readers int
-	idle    time.Time // since when nobody reads
-	pushing bool
+	mu            sync.Mutex
+	changed       *sync.Cond
+	backup        membership.Peer
+	hasBackup     bool
+	released      bool // the session ends on this node; nothing of it is pushed any more
+	acked         ackState
+	failedBackups []vaneyoke.VMID // not chosen again
+	readers       int
+	idleSince     time.Time // when the last reader left
+	pushing       bool
 }
 
-// acked is what a backup has confirmed.
-type acked struct {
+// ackState is the part of a session that its backup has acknowledged.
+type ackState struct {
 	ids    int
 	text   int
 	prompt bool
 	result bool
 	stream journal.Stream
-	trims  int // of the session when the push was made
+	trims  int // number of trims of the session at the time of the push
 }
 
-// confirmed returns what the backup holds of the session as it is now: nothing, once ids that it holds were taken back.
-func (s *session) confirmed(saved relay.Saved) acked {
+// confirmed returns the acknowledged part of the session. It is empty after a trim, because the backup then holds token IDs that are no longer
+// part of the session.
+func (s *session) confirmed(saved relay.Saved) ackState {
 	if s.acked.trims != saved.Trims {
-		return acked{trims: saved.Trims}
+		return ackState{trims: saved.Trims}
 	}
 	return s.acked
 }
 
 func newSession(m *Manager, key journal.Key, entry journal.Entry, r *relay.Session) *session {
-	s := &session{manager: m, key: key, entry: entry, handle: m.handle(), relay: r, idle: time.Now()}
+	s := &session{manager: m, key: key, entry: entry, handle: m.newHandle(), relay: r, idleSince: time.Now()}
 	s.changed = sync.NewCond(&s.mu)
 	s.chooseBackup()
-	if !s.backed {
+	if !s.hasBackup {
 		m.metrics.NoBackup.Add(1)
 	}
 	return s
 }
 
-// chooseBackup takes the best node that has not failed yet.
+// chooseBackup selects the best node among those that have not failed as a backup.
 func (s *session) chooseBackup() {
-	s.backup, s.backed = s.manager.backup(s.tried)
+	s.backup, s.hasBackup = s.manager.backup(s.failedBackups)
 	s.entry.Backup = s.backup.VM
-	s.acked = acked{}
+	s.acked = ackState{}
 }
 
-// backup returns the node for the own node's journals, leaving out some that failed.
+// backup returns the node that keeps the journals of this node, excluding the nodes in avoid.
 func (m *Manager) backup(avoid []vaneyoke.VMID) (membership.Peer, bool) {
 	return m.fleet.View().Backup(membership.Peer{VM: m.self.VM, DataCentre: m.dataCentre}, avoid)
 }
 
-// homeKey is what the nodes rank one another by for a session.
-func homeKey(key journal.Key) string { return string(key.Workspace) + "\x00" + key.Key }
+// directoryKey returns the key by which the directory peers of a session are selected.
+func directoryKey(key journal.Key) string { return string(key.Workspace) + "\x00" + key.Key }
 
-// dropBackup gives up a backup that failed and chooses another.
+// dropBackup replaces a backup that failed.
 func (s *session) dropBackup(failed vaneyoke.VMID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left || !s.backed || s.backup.VM != failed {
+	if s.released || !s.hasBackup || s.backup.VM != failed {
 		return
 	}
-	s.tried = append(s.tried, failed)
+	s.failedBackups = append(s.failedBackups, failed)
 	s.chooseBackup()
-	if !s.backed {
+	if !s.hasBackup {
 		s.manager.metrics.NoBackup.Add(1)
 	}
 	s.changed.Broadcast()
-	go s.manager.tellHomes(s.key, s.entry)
+	go s.manager.updateDirectory(s.key, s.entry)
 }
 
-// whole returns the session from its beginning.
-func (s *session) whole(saved relay.Saved) journal.Delta {
+// fullDelta returns a delta that contains the session from its beginning.
+func (s *session) fullDelta(saved relay.Saved) journal.Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.since(saved, acked{})
+	d := s.deltaSince(saved, ackState{})
 	d.Key, d.Entry = s.key, s.entry
 	return d
 }
 
-// owned returns who owns the session and where its journal is.
-func (s *session) owned() journal.Entry {
+// currentEntry returns the directory entry of the session, with its owner and its backup.
+func (s *session) currentEntry() journal.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entry
 }
 
-// since returns what a backup that has confirmed so much lacks; only the first push names the session by its key.
-func (s *session) since(saved relay.Saved, have acked) journal.Delta {
+// deltaSince returns the part of the session that a backup with the given acknowledged state lacks. Only the first push carries the session's
+// key; later ones refer to its handle.
+func (s *session) deltaSince(saved relay.Saved, acked ackState) journal.Delta {
 	r := saved.Restored
 	d := journal.Delta{
 		Handle: s.handle,
-		From:   vaneyoke.Tokens(have.ids), TextFrom: have.text,
-		IDs: r.IDs[have.ids:], Text: r.Text[min(have.text, len(r.Text)):],
+		From:   vaneyoke.Tokens(acked.ids), TextFrom: acked.text,
+		IDs: r.IDs[acked.ids:], Text: r.Text[min(acked.text, len(r.Text)):],
 	}
-	if !have.prompt {
+	if !acked.prompt {
 		d.Key, d.Entry, d.Prompt = s.key, s.entry, r.Prompt
 	}
-	if stream := streamOf(saved); !have.prompt || stream != have.stream {
+	if stream := streamOf(saved); !acked.prompt || stream != acked.stream {
 		d.Stream = &stream
 	}
 	if saved.Result != nil {
@@ -134,11 +136,11 @@
 	return journal.Stream{Name: saved.StreamName, Upstream: saved.Restored.Upstream, Base: saved.StreamBase}
 }
 
-// pending returns what the backup does not hold yet.
-func (s *session) pending() (journal.Delta, membership.Peer, bool) {
+// nextDelta returns the delta that the backup lacks; ok is false if there is nothing to push or a push is in progress.
+func (s *session) nextDelta() (journal.Delta, membership.Peer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left || !s.backed || s.pushing || s.acked.result {
+	if s.released || !s.hasBackup || s.pushing || s.acked.result {
 		return journal.Delta{}, membership.Peer{}, false
 	}
 	saved := s.relay.Save()
@@ -152,11 +154,11 @@
 		return journal.Delta{}, membership.Peer{}, false
 	}
 	s.pushing = true
-	return s.since(saved, s.acked), s.backup, true
+	return s.deltaSince(saved, s.acked), s.backup, true
 }
 
-// pushed takes in what became of a delta.
-func (s *session) pushed(d journal.Delta, to vaneyoke.VMID, state journal.PushOutcome) {
+// recordPush updates the acknowledged state with the outcome of a push.
+func (s *session) recordPush(d journal.Delta, to vaneyoke.VMID, state journal.PushOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pushing = false
@@ -173,23 +175,23 @@
 			s.acked.stream = *d.Stream
 		}
 	case journal.PushGap:
-		s.acked = acked{}
+		s.acked = ackState{}
 	case journal.PushSuperseded:
 	}
 	s.changed.Broadcast()
 }
 
-func (s *session) pushFailed(to vaneyoke.VMID) {
+func (s *session) recordPushFailure(to vaneyoke.VMID) {
 	s.mu.Lock()
 	s.pushing = false
 	s.mu.Unlock()
 	s.dropBackup(to)
 }
 
-// cursor returns the mark for a caller that holds the text up to offset.
-// Where the backup lags by more than a cursor can carry, it waits for the backup, and gives the backup up where that takes too long. A
-// caller must not be given text, and ok is false, where the node leaves the session meanwhile: no other node could go on from there.
-func (s *session) cursor(ctx context.Context, offset int, digest uint64) (mark string, ok bool) {
+// encodeCursor returns the cursor for a caller that holds the text up to offset.
+// If the backup lags by more than a cursor can carry, it waits for the backup, and replaces a backup that exceeds AckTimeout. If the session
+// is released while it waits, ok is false, and the caller must not get the text, because no other node could resume from there.
+func (s *session) encodeCursor(ctx context.Context, offset int, digest uint64) (encoded string, ok bool) {
 	c := cursor.Cursor{
 		Workspace: s.key.Workspace,
 		Request:   s.entry.Request,
@@ -197,28 +199,28 @@
 		Offset:    offset,
 		Digest:    digest,
 	}
-	s.waitBacked(ctx)
+	s.waitForBackup(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left && !s.nearlyAcked() {
+	if s.released && !s.tailFitsCursor() {
 		return "", false
 	}
-	if s.backed {
+	if s.hasBackup {
 		saved := s.relay.Save()
-		r, have := saved.Restored, s.confirmed(saved)
+		r, acked := saved.Restored, s.confirmed(saved)
 		c.Stream = cursor.StreamDigest(saved.StreamName)
 		c.Backup = s.backup.VM
-		c.TailFrom, c.TailTextFrom = vaneyoke.Tokens(have.ids), have.text
-		c.TailIDs, c.TailText = r.IDs[have.ids:], r.Text[min(have.text, len(r.Text)):]
+		c.TailFrom, c.TailTextFrom = vaneyoke.Tokens(acked.ids), acked.text
+		c.TailIDs, c.TailText = r.IDs[acked.ids:], r.Text[min(acked.text, len(r.Text)):]
 	}
-	return s.manager.ring.Encode(c), true
+	return s.manager.keyring.Encode(c), true
 }
 
-// waitBacked waits until the backup holds all but a short tail, there is no backup, or the node has left the session.
-func (s *session) waitBacked(ctx context.Context) {
+// waitForBackup waits until a cursor can carry everything that the backup lacks, there is no backup, or the session is released.
+func (s *session) waitForBackup(ctx context.Context) {
 	for ctx.Err() == nil {
-		limit, cancel := context.WithTimeout(ctx, s.manager.config.AckWait)
-		slow, ok := s.waitUntil(limit, func() bool { return s.left || s.nearlyAcked() })
+		limit, cancel := context.WithTimeout(ctx, s.manager.config.AckTimeout)
+		slow, ok := s.waitUntil(limit, func() bool { return s.released || s.tailFitsCursor() })
 		cancel()
 		if ok {
 			return
@@ -229,24 +231,24 @@
 	}
 }
 
-// nearlyAcked reports whether the backup holds all but a short tail, or there is no backup.
-func (s *session) nearlyAcked() bool {
-	if !s.backed {
+// tailFitsCursor reports whether a cursor can carry everything that the backup lacks; it is true if there is no backup.
+func (s *session) tailFitsCursor() bool {
+	if !s.hasBackup {
 		return true
 	}
 	saved := s.relay.Save()
-	r, have := saved.Restored, s.confirmed(saved)
-	tail := len(r.IDs) - have.ids
-	return have.prompt && tail <= s.manager.config.TailIDs && len(r.Text)-have.text <= maxTailText
+	r, acked := saved.Restored, s.confirmed(saved)
+	tail := len(r.IDs) - acked.ids
+	return acked.prompt && tail <= s.manager.config.MaxTailIDs && len(r.Text)-acked.text <= maxTailTextBytes
 }
 
-// sealed reports whether the backup holds the whole answer, or none will any more.
-func (s *session) sealed() bool { return s.left || !s.backed || s.acked.result }
+// isReplicated reports whether the backup holds the whole answer, or no further push will be made.
+func (s *session) isReplicated() bool { return s.released || !s.hasBackup || s.acked.result }
 
-// maxTailText is the longest text that a cursor carries.
-const maxTailText = 1 << 10
+// maxTailTextBytes limits the text that a cursor carries.
+const maxTailTextBytes = 1 << 10
 
-// waitUntil has the session pushed until done, which is called under the lock, is true; otherwise it returns the backup that took too long.
+// waitUntil triggers pushes until done returns true, and calls done with s.mu held. If ctx ends first, it returns the backup that was too slow.
 func (s *session) waitUntil(ctx context.Context, done func() bool) (slow vaneyoke.VMID, ok bool) {
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
@@ -260,7 +262,7 @@
 		if ctx.Err() != nil {
 			return s.backup.VM, false
 		}
-		s.manager.kickPush()
+		s.manager.triggerPush()
 		s.changed.Wait()
 	}
 	return "", true
--- a/tools/measure/claims.go
+++ b/tools/measure/claims.go
@@ -60,7 +60,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	batch := claims.NewBatcher(table, 3*time.Millisecond, new(expvar.Map).Init())
-	config := claims.Config{Wait: 10 * time.Second, SaveWait: 10 * time.Second, SettleEvery: time.Second}
+	config := claims.Config{StoreTimeout: 10 * time.Second, SaveTimeout: 10 * time.Second, SettleInterval: time.Second}
 	c := claims.New(vaneyoke.NodeID{VM: "vm-1"}, config, table, batch, log)
 	go c.Run(ctx)
 	var wait sync.WaitGroup
@@ -69,7 +69,7 @@
 		time.Sleep(5 * time.Millisecond)
 		wait.Go(func() {
 			req := claims.Request{Workspace: "w", Key: fmt.Sprint(i), ID: vaneyoke.RequestID(fmt.Sprint(i))}
-			_, err := c.Once(ctx, req, func(context.Context) claims.Outcome {
+			_, err := c.RunAtMostOnce(ctx, req, func(context.Context) claims.Outcome {
 				return claims.Outcome{Answer: &claim.Answer{Status: 200}}
 			})
 			errs <- err
