--- a/process/node/limits_wire.go
+++ b/process/node/limits_wire.go
@@ -33,7 +33,7 @@
 // setMembers takes in the members of the fleet.
 func (t *limitTables) setMembers(all []feed.Member) {
 	t.node.SetMembers(lo.Map(all, func(m feed.Member, _ int) ratelimit.Member {
-		return ratelimit.Member{VM: m.VM, DataCentre: m.DataCentre, SupportsLimits: m.Speaks >= feed.DialectLimits}
+		return ratelimit.Member{VM: m.VM, DataCentre: m.DataCentre, SupportsLimits: m.Protocol >= feed.ProtocolLimits}
 	}))
 }
 
@@ -53,7 +53,7 @@
 		vm, dataCentre, member, platform.NewLimits(do.MustInvoke[*storeClient](i).http, s.Gateway.Store), do.MustInvoke[*balancer.Balancer](i).SetLimit,
 		ratelimits.NewMetrics(do.MustInvoke[*expvar.Map](i)), do.MustInvoke[logrus.FieldLogger](i),
 	)
-	member.OnLimits(n.Take)
+	member.OnLimits(n.HandleMessage)
 	member.OnNeighbours(n.SetNeighbours)
 	do.MustInvoke[*limitTables](i).node = n
 	if s.Gateway.Peers == "" {
--- a/shell/mesh/datagram.go
+++ b/shell/mesh/datagram.go
@@ -34,14 +34,14 @@
 // SendLimits sends a message about rate limits to a member, unless its build does not support them.
 func (n *Node) SendLimits(to vaneyoke.VMID, m ratelimits.Message) {
 	member, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == to })
-	if !ok || member.Speaks < feed.DialectLimits {
+	if !ok || member.Protocol < feed.ProtocolLimits {
 		return
 	}
 	if len(m.Notices) == 0 {
 		n.sendMessage(member, typeLimits, m)
 		return
 	}
-	sendInParts(n, member, typeLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{By: m.By, Notices: part} })
+	sendInParts(n, member, typeLimits, m.Notices, func(part []ratelimit.Notice) any { return ratelimits.Message{From: m.From, Notices: part} })
 }
 
 // sendInParts sends items in as many datagrams as needed, since nodes receive only maxDatagramBytes of each, and returns the number of items
