--- a/decide/feed/event.go
+++ b/decide/feed/event.go
@@ -7,56 +7,56 @@
 	"github.com/vaneyoke/vaneyoke/internal/names"
 )
 
-// Word is what a node says of its tables.
+// TableStatus is what a node reports about its tables.
 type TableStatus struct {
-	Age      time.Duration // how long ago the store confirmed them
-	Complete bool          // whether it holds all tables
-	Reader   vaneyoke.VMID // the node that the store told so
+	Age      time.Duration // time since the store confirmed them
+	Complete bool          // whether the node holds all tables
+	Reader   vaneyoke.VMID // the node whose read of the store confirmed them
 }
 
-// Event is something that a node learns.
+// Event is an input of State.Handle.
 type Event interface{ event() }
 
-// Started says that the node has started; it is the first event.
+// Started reports that the node has started; it is the first event.
 type Started struct{}
 
-// Members tells the members of the fleet as they are registered.
+// MembersUpdated carries the registered members of the fleet.
 type MembersUpdated struct{ Members []Member }
 
-// Told says that the node that is followed has spoken, and that its tables were taken in.
+// StatusReceived reports that the source has sent its status, and that its tables were applied.
 type StatusReceived struct {
 	From   vaneyoke.VMID
 	Status TableStatus
 }
 
-// Lost says that a node cannot be followed, or not any more.
+// SourceLost reports that a node cannot be followed, or that the stream from it ended.
 type SourceLost struct{ From vaneyoke.VMID }
 
-// Answered is a node's answer to Ask.
+// QueryAnswered carries a node's answer to QueryStatus.
 type QueryAnswered struct {
 	From   Member
 	Status TableStatus
 }
 
-// Offered says that another node offers its tables.
+// OfferReceived reports that another node offers its tables.
 type OfferReceived struct {
 	From   Member
 	Status TableStatus
 }
 
-// StoreRead says that the store has answered this node's own call; Word says what the node's tables are then.
+// StoreRead reports that a store call of this node succeeded; Status describes the node's tables after it.
 type StoreRead struct{ Status TableStatus }
 
-// StoreFailed says that a call to the store failed.
+// StoreFailed reports that a store call of this node failed.
 type StoreFailed struct{}
 
-// Followed says that another node began to follow this one.
+// FollowerAdded reports that another node began to follow this one.
 type FollowerAdded struct{ VM vaneyoke.VMID }
 
-// Unfollowed says that another node ended to follow this one.
+// FollowerRemoved reports that another node stopped following this one.
 type FollowerRemoved struct{ VM vaneyoke.VMID }
 
-// Tick says that the time has come that State.Next told.
+// Tick reports that the time returned by State.NextTick has come.
 type Tick struct{}
 
 func (Started) event()         {}
@@ -71,22 +71,22 @@
 func (FollowerRemoved) event() {}
 func (Tick) event()            {}
 
-// Effect is something that the node has to do.
+// Effect is an action that the node has to take.
 type Effect interface{ effect() }
 
-// Follow has the node take the tables from another one, and from no one else.
+// Follow makes the node take its tables from Member, and from no other node.
 type Follow struct{ Member Member }
 
-// Leave has the node follow nobody.
+// Unfollow makes the node follow no other node.
 type Unfollow struct{}
 
-// Read has the node read the store in another way than so far.
+// SetReadMode changes how the node reads the store.
 type SetReadMode struct{ Mode ReadMode }
 
-// Ask has the node ask another one what its tables are; without an answer nothing follows.
+// QueryStatus asks another node for the status of its tables. Without an answer no event follows.
 type QueryStatus struct{ Member Member }
 
-// Offer has the node offer its tables to others, who need not answer.
+// SendOffers offers the node's tables to other nodes, which need not answer.
 type SendOffers struct{ To []Member }
 
 func (Follow) effect()      {}
@@ -95,16 +95,16 @@
 func (QueryStatus) effect() {}
 func (SendOffers) effect()  {}
 
-// Reading is how a node reads the store.
+// ReadMode is how a node reads the store.
 type ReadMode int
 
-// The ways of reading the store.
+// The read modes.
 const (
 	ReadNothing ReadMode = iota
-	ReadMembers          // the list of members alone, by a node that does not know whom to ask
-	ReadOnce             // one call, to find out whether the store answers; all tables where it does
-	ReadAll              // all tables, for good
+	ReadMembers          // only the list of members, by a node that knows no other node to ask
+	ReadOnce             // one call to probe whether the store answers; it reads all tables if it does
+	ReadAll              // all tables, continuously
 )
 
-// String names the way of reading.
+// String returns the name of the mode.
 func (r ReadMode) String() string { return names.Of(r, "nothing", "members", "once", "all") }
