--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -91,7 +91,7 @@
 		do.MustInvoke[logrus.FieldLogger](i),
 		relayConfig(s),
 	)
-	placer.crashes.OnBar(r.Bar)
+	placer.crashes.OnBlock(r.Quarantine)
 	return r, nil
 }
 
@@ -128,14 +128,14 @@
 	client := do.MustInvoke[*storeClient](i).http
 	directory := do.MustInvoke[*routes](i)
 	config := mesh.DefaultConfig().InForceWithin(s.Gateway.InForceWithin)
-	config.Small.PollWait = s.Gateway.FeedWait
+	config.SingleNode.PollWait = s.Gateway.FeedWait
 	if s.Gateway.FirstStart {
 		config = config.AtFirstStart()
 	}
-	config.Small = config.Small.RecoverWithin(s.Gateway.BackWithin)
+	config.SingleNode = config.SingleNode.RecoverWithin(s.Gateway.BackWithin)
 	config.Reader = config.Reader.RecoverWithin(s.Gateway.BackWithin)
 	if s.Gateway.Peers == "" {
-		config.Feed.First, config.Feed.Choices = 0, 0 // it follows nobody
+		config.Feed.MemberWait, config.Feed.MaxCandidates = 0, 0 // it follows nobody
 	}
 	members := platform.NewMembers(client, s.Gateway.Store)
 	moves := do.MustInvoke[*rolloutTables](i)
@@ -146,7 +146,7 @@
 	var node *mesh.Node
 	tables := map[string]mesh.Table{
 		"routes":    {Source: platform.NewConfig(client, s.Gateway.Store), Apply: directory.setTables},
-		"crashes":   {Source: platform.NewCrashes(client, s.Gateway.Store), MayLag: true, Spare: true, Apply: do.MustInvoke[*crashTables](i).set},
+		"crashes":   {Source: platform.NewCrashes(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: do.MustInvoke[*crashTables](i).set},
 		"upstreams": {Source: platform.NewEngines(client, s.Gateway.Store), Apply: directory.setUpstreams, Grace: lapseGrace(s.Gateway)},
 		"members": {Source: members, MayLag: true, Apply: func(_ time.Time, rows watch.Rows) {
 			node.SetMembers(mesh.DecodeMembers(rows))
@@ -154,22 +154,22 @@
 			directory.balancer.SetRetryBurst(fleetBudgetConfig(s.Retry, node.Members()).Burst)
 		}},
 	}
-	tables["limits"] = mesh.Table{Source: platform.NewLimits(client, s.Gateway.Store), MayLag: true, Spare: true, Apply: limits.setRows}
+	tables["limits"] = mesh.Table{Source: platform.NewLimits(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: limits.setRows}
 	if s.Rollout.Exposure > 0 {
 		tables["rollouts"] = mesh.Table{Source: platform.NewRollouts(client, s.Gateway.Store), MayLag: true, Apply: moves.setRecords}
 	}
 	hub := mesh.NewHub(tables)
-	self := feed.Member{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre), Address: s.Gateway.Peers, Bandwidth: s.Node.Bandwidth, Speaks: feed.DialectOwn}
+	self := feed.Member{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre), Address: s.Gateway.Peers, Bandwidth: s.Node.Bandwidth, Protocol: feed.ProtocolCurrent}
 	vars := do.MustInvoke[*expvar.Map](i)
 	vars.Set("build", expvar.Func(func() any { return vaneyoke.Build() }))
-	vars.Set("speaks", expvar.Func(func() any { return feed.DialectOwn }))
+	vars.Set("speaks", expvar.Func(func() any { return feed.ProtocolCurrent }))
 	node = mesh.New(self, config, hub, members, newPeerClient(), mesh.NewMetrics(vars), do.MustInvoke[logrus.FieldLogger](i))
 	vars.Set("upstreams", expvar.Func(func() any { return countUpstreams(directory.balancer.Loads()) }))
 	vars.Set("upstreams_failing", expvar.Func(func() any { return failingUpstreams(directory.balancer.Loads()) }))
 	vars.Set("retries_left", expvar.Func(func() any { return directory.balancer.RetriesLeft() }))
 	vars.Set("memory_bytes", expvar.Func(func() any { return memoryBytes() }))
 	vars.Set("members", expvar.Func(func() any { return node.Members() }))
-	vars.Set("tables_age_ms", expvar.Func(func() any { return hub.Word(steady.Now()).Age.Milliseconds() }))
+	vars.Set("tables_age_ms", expvar.Func(func() any { return hub.Status(steady.Now()).Age.Milliseconds() }))
 	return node, nil
 }
 
--- a/process/node/wire.go
+++ b/process/node/wire.go
@@ -119,7 +119,7 @@
 
 func provideRelay(i do.Injector) (*relay.Relay, error) {
 	s, vars, log := do.MustInvoke[settings.Settings](i), do.MustInvoke[*expvar.Map](i), do.MustInvoke[logrus.FieldLogger](i)
-	crashes := quarantines.NewAlone(quarantineConfig(s.Recovery), quarantines.NewMetrics(vars), log)
+	crashes := quarantines.NewStandalone(quarantineConfig(s.Recovery), quarantines.NewMetrics(vars), log)
 	r := relay.New(
 		engine.New(newUpstreamClient(), newOnceClient()),
 		nil,
@@ -129,7 +129,7 @@
 		log,
 		relayConfig(s),
 	)
-	crashes.OnBar(r.Bar)
+	crashes.OnBlock(r.Quarantine)
 	return r, nil
 }
 
@@ -181,7 +181,7 @@
 	s := do.MustInvoke[settings.Settings](i).Claims
 	table := do.MustInvoke[*aws.Client](i)
 	batch := claims.NewBatcher(table, s.Window, do.MustInvoke[*expvar.Map](i))
-	config := claims.Config{Wait: s.Wait, SaveWait: s.SaveWait, SettleEvery: s.SettleEvery}
+	config := claims.Config{StoreTimeout: s.Wait, SaveTimeout: s.SaveWait, SettleInterval: s.SettleEvery}
 	return claims.New(do.MustInvoke[vaneyoke.NodeID](i), config, table, batch, do.MustInvoke[logrus.FieldLogger](i)), nil
 }
 
