--- a/shell/balancer/balancer.go
+++ b/shell/balancer/balancer.go
@@ -104,8 +104,8 @@
 	return upstream, expectedTTFT, nil
 }
 
-// Unsent returns a retry to the budget that never reached its upstream.
-func (b *Balancer) Unsent(need placement.Need) {
+// RefundRetry returns a retry to the budget that never reached its upstream.
+func (b *Balancer) RefundRetry(need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(need.Service).GiveBack(time.Now())
@@ -196,22 +196,22 @@
 	return b.state.Offers(need)
 }
 
-// Holders returns the upstreams that may have the prompt cached.
-func (b *Balancer) Holders(need placement.Need) []vaneyoke.Upstream {
+// PromptHolders returns the upstreams that may have the prompt cached.
+func (b *Balancer) PromptHolders(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.PromptHolders(time.Now(), need)
 }
 
-// Homes returns the upstreams that are preferred for a prompt, by affinity.
-func (b *Balancer) Homes(need placement.Need) []vaneyoke.Upstream {
+// AffinityUpstreams returns the upstreams that are preferred for a prompt, by affinity.
+func (b *Balancer) AffinityUpstreams(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.AffinityUpstreams(time.Now(), need)
 }
 
-// Spares returns further upstreams that can be queried for load reports if all upstreams preferred for a prompt are busy.
-func (b *Balancer) Spares(need placement.Need) []vaneyoke.Upstream {
+// SpilloverUpstreams returns further upstreams that can be queried for load reports if all upstreams preferred for a prompt are busy.
+func (b *Balancer) SpilloverUpstreams(need placement.Need) []vaneyoke.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.SpilloverUpstreams(time.Now(), b.rng, need)
@@ -231,15 +231,15 @@
 	b.state.Reported(time.Now(), id, report)
 }
 
-// Replica selects an upstream for a replica of a run on primary, in another data centre if possible.
-func (b *Balancer) Replica(need placement.Need, primary vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
+// PickReplica selects an upstream for a replica of a run on primary, in another data centre if possible.
+func (b *Balancer) PickReplica(need placement.Need, primary vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.PickReplica(time.Now(), b.rng, need, primary)
 }
 
-// Released records that a replica is no longer needed.
-func (b *Balancer) Released(replica vaneyoke.UpstreamID, need placement.Need) {
+// ReleaseReplica records that a replica is no longer needed.
+func (b *Balancer) ReleaseReplica(replica vaneyoke.UpstreamID, need placement.Need) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state.ReleaseReplica(replica, need)
@@ -287,8 +287,8 @@
 	b.state.SetSplit(service, split)
 }
 
-// Draws decides at random whether a new request goes to the target version of its service's rollout.
-func (b *Balancer) Draws(service vaneyoke.ServiceID) bool {
+// DrawCanary decides at random whether a new request goes to the target version of its service's rollout.
+func (b *Balancer) DrawCanary(service vaneyoke.ServiceID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.DrawCanary(b.rng, service)
