--- a/process/telemetry/async.go
+++ b/process/telemetry/async.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	asyncLines     = 4096        // lines that wait for a slow reader before further ones are lost
-	asyncLineBytes = 4 << 10     // longest line; the rest of a longer one is cut off
-	lostEvery      = time.Second // time between two lines that tell of lost ones
-	lostLine       = "time=%q level=warning msg=log_lines_lost count=%d\n"
+	maxQueuedLines     = 4096        // queued lines; further ones are dropped
+	maxLineBytes       = 4 << 10     // longer lines are truncated
+	lostReportInterval = time.Second // minimum time between two reports of lost lines
+	lostReportFormat   = "time=%q level=warning msg=log_lines_lost count=%d\n"
 )
 
-// AsyncWriter hands lines to a writer in the background; a writer that stalls costs lines, and never time.
+// AsyncWriter passes lines to another writer in the background. If that writer stalls, lines are dropped and Write never blocks.
 type AsyncWriter struct {
-	out   io.Writer
-	lines chan []byte
-	lost  atomic.Int64
-	total atomic.Int64
-	done  chan struct{}
-	once  sync.Once
+	out        io.Writer
+	lines      chan []byte
+	unreported atomic.Int64
+	lost       atomic.Int64
+	done       chan struct{}
+	once       sync.Once
 }
 
-// NewAsyncWriter returns a writer that hands lines on to out.
+// NewAsyncWriter returns a writer that passes lines to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	w := &AsyncWriter{out: out, lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+	w := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes in one line and never waits.
+// Write queues one line, or drops it if the queue is full; it never blocks.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
-	kept := line[:min(len(line), asyncLineBytes)]
+	kept := line[:min(len(line), maxLineBytes)]
 	copied := append(make([]byte, 0, len(kept)+1), kept...)
 	if len(kept) < len(line) {
 		copied = append(copied, '\n')
@@ -42,34 +42,34 @@
 	select {
 	case w.lines <- copied:
 	default:
+		w.unreported.Add(1)
 		w.lost.Add(1)
-		w.total.Add(1)
 	}
 	return len(line), nil
 }
 
-// Lost returns how many lines were lost.
-func (w *AsyncWriter) Lost() int64 { return w.total.Load() }
+// Lost returns the number of lines dropped so far.
+func (w *AsyncWriter) Lost() int64 { return w.lost.Load() }
 
 func (w *AsyncWriter) run() {
 	defer close(w.done)
-	told := time.Time{}
+	lastReport := time.Time{}
 	for line := range w.lines {
 		if line == nil {
 			return
 		}
 		_, _ = w.out.Write(line)
-		if now := time.Now(); w.lost.Load() > 0 && now.Sub(told) >= lostEvery {
-			told = now
-			_, _ = fmt.Fprintf(w.out, lostLine, now.UTC().Format(timeFormat), w.lost.Swap(0))
+		if now := time.Now(); w.unreported.Load() > 0 && now.Sub(lastReport) >= lostReportInterval {
+			lastReport = now
+			_, _ = fmt.Fprintf(w.out, lostReportFormat, now.UTC().Format(timeFormat), w.unreported.Swap(0))
 		}
 	}
 }
 
-// Close writes out what waits, for at most the given time; lines that come later are lost.
-func (w *AsyncWriter) Close(wait time.Duration) {
+// Close writes out the queued lines, waiting at most the given timeout; later lines are lost.
+func (w *AsyncWriter) Close(timeout time.Duration) {
 	w.once.Do(func() {
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(timeout)
 		defer timer.Stop()
 		select {
 		case w.lines <- nil:
--- a/process/telemetry/doc.go
+++ b/process/telemetry/doc.go
@@ -1,2 +1,2 @@
-// Package telemetry sets up logs and traces, and says which events there are.
+// Package telemetry sets up logging and tracing, and lists all log events.
 package telemetry
--- a/process/telemetry/events.go
+++ b/process/telemetry/events.go
@@ -8,11 +8,11 @@
 // Event is a kind of log line.
 type Event struct {
 	Name string
-	Keys []string // beside time, level and msg
+	Keys []string // in addition to time, level and msg
 	Text string   // what happened, in one sentence
 }
 
-// Events returns every kind of log line that a node writes, by name.
+// Events returns every kind of log line that a node writes, sorted by name.
 func Events() []Event { return events }
 
 var events = []Event{
@@ -110,7 +110,7 @@
 	{"vms_read_failed", []string{"error"}, "The list of VMs could not be read."},
 }
 
-// EventsTable returns the table of events as it stands in docs/OPERATIONS.md.
+// EventsTable returns the Markdown table of events in docs/OPERATIONS.md.
 func EventsTable() string {
 	var b strings.Builder
 	b.WriteString("| event | keys | meaning |\n| --- | --- | --- |\n")
--- a/process/telemetry/events_test.go
+++ b/process/telemetry/events_test.go
@@ -16,15 +16,15 @@
 	"github.com/vaneyoke/vaneyoke/process/telemetry"
 )
 
-// logCalls are the methods that write a line, by the place of the event's name among their arguments; change is the
-// catalog's own, which passes the name on.
-var logCalls = map[string]int{"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "change": 1}
+// eventNameArg maps the methods that log an event to the index of the event's name among their arguments; apply is a method of
+// catalog.MembershipManager that logs under the name passed to it.
+var eventNameArg = map[string]int{"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "apply": 1}
 
-// keyCalls are functions that add keys which do not stand at the call.
-var keyCalls = map[string][]string{"logAttempt": {"attempt", "request", "upstream"}, "change": {"vm"}}
+// implicitKeys maps functions to the keys that they add without naming them at the call.
+var implicitKeys = map[string][]string{"logAttempt": {"attempt", "request", "upstream"}, "apply": {"vm"}}
 
-// eventsInCode returns the keys of each event that the project's code logs.
-func eventsInCode(t *testing.T) map[string]map[string]bool {
+// loggedEvents returns the keys of each event that the project's code logs.
+func loggedEvents(t *testing.T) map[string]map[string]bool {
 	found := map[string]map[string]bool{}
 	must.NoError(t, filepath.WalkDir("../..", func(path string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -36,7 +36,7 @@
 		}
 		for _, decl := range file.Decls {
 			if f, ok := decl.(*ast.FuncDecl); ok && f.Body != nil {
-				addEvents(found, f)
+				addLoggedEvents(found, f)
 			}
 		}
 		return nil
@@ -44,8 +44,8 @@
 	return found
 }
 
-// addEvents adds the events that a function logs.
-func addEvents(found map[string]map[string]bool, f *ast.FuncDecl) {
+// addLoggedEvents adds the events that a function logs.
+func addLoggedEvents(found map[string]map[string]bool, f *ast.FuncDecl) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
@@ -55,25 +55,25 @@
 		if !ok {
 			return true
 		}
-		at, ok := logCalls[selector.Sel.Name]
-		if !ok || len(call.Args) <= at {
+		index, ok := eventNameArg[selector.Sel.Name]
+		if !ok || len(call.Args) <= index {
 			return true
 		}
-		name, ok := text(call.Args[at])
-		if !ok || strings.ContainsAny(name, " :") { // not a name of ours
+		name, ok := stringLiteral(call.Args[index])
+		if !ok || strings.ContainsAny(name, " :") { // not the name of an event
 			return true
 		}
 		if found[name] == nil {
 			found[name] = map[string]bool{}
 		}
-		for _, key := range append(keysOf(f, selector.X), keyCalls[selector.Sel.Name]...) {
+		for _, key := range append(keysOf(f, selector.X), implicitKeys[selector.Sel.Name]...) {
 			found[name][key] = true
 		}
 		return true
 	})
 }
 
-// keysOf returns the keys of the chain of calls that an event is logged by.
+// keysOf returns the keys in the chain of calls that logs an event.
 func keysOf(f *ast.FuncDecl, chain ast.Expr) []string {
 	call, ok := chain.(*ast.CallExpr)
 	if !ok {
@@ -83,10 +83,10 @@
 	if !ok {
 		return nil
 	}
-	keys := append(keysOf(f, selector.X), keyCalls[selector.Sel.Name]...)
+	keys := append(keysOf(f, selector.X), implicitKeys[selector.Sel.Name]...)
 	switch selector.Sel.Name {
 	case "WithField":
-		if key, ok := text(call.Args[0]); ok {
+		if key, ok := stringLiteral(call.Args[0]); ok {
 			keys = append(keys, key)
 		}
 	case "WithFields":
@@ -95,14 +95,14 @@
 	return keys
 }
 
-// literalKeys returns the keys of a literal of fields, also where it was given a name in the same function.
+// literalKeys returns the keys of a literal of fields, given directly or through a variable of the same function.
 func literalKeys(f *ast.FuncDecl, fields ast.Expr) []string {
 	var keys []string
 	switch e := fields.(type) {
 	case *ast.CompositeLit:
 		for _, element := range e.Elts {
 			if pair, ok := element.(*ast.KeyValueExpr); ok {
-				if key, ok := text(pair.Key); ok {
+				if key, ok := stringLiteral(pair.Key); ok {
 					keys = append(keys, key)
 				}
 			}
@@ -124,7 +124,7 @@
 	return keys
 }
 
-func text(e ast.Expr) (string, bool) {
+func stringLiteral(e ast.Expr) (string, bool) {
 	literal, ok := e.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
@@ -133,10 +133,10 @@
 	return value, err == nil
 }
 
-// TestEveryLogEventIsListed holds the events in the code, and their keys, against the table, both ways.
-func TestEveryLogEventIsListed(t *testing.T) {
-	inCode := eventsInCode(t)
-	inCode["log_lines_lost"] = map[string]bool{"count": true} // written by the writer itself
+// TestLoggedEventsMatchTable checks that the table lists exactly the events in the code, with exactly their keys.
+func TestLoggedEventsMatchTable(t *testing.T) {
+	inCode := loggedEvents(t)
+	inCode["log_lines_lost"] = map[string]bool{"count": true} // written by AsyncWriter without a logger
 	var listed []string
 	for _, e := range telemetry.Events() {
 		listed = append(listed, e.Name)
@@ -151,7 +151,7 @@
 	must.True(t, slices.IsSorted(listed))
 }
 
-// TestDocsListEveryEvent holds the operators' page against the table.
+// TestDocsListEveryEvent checks that docs/OPERATIONS.md contains the table of events.
 func TestDocsListEveryEvent(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/OPERATIONS.md")
 	must.NoError(t, err)
--- a/process/telemetry/log.go
+++ b/process/telemetry/log.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// timeFormat gives log lines times in milliseconds.
+// timeFormat is RFC 3339 with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // NewLogger returns a logger that writes one line of key=value pairs for each event.
--- a/process/telemetry/trace.go
+++ b/process/telemetry/trace.go
@@ -13,7 +13,7 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Outputs of traces that are no file.
+// Trace outputs that are not files.
 const (
 	OutputOff    = "off"
 	OutputStdout = "stdout"
@@ -21,17 +21,17 @@
 
 const traceFileMode = 0o600
 
-// Tracing makes spans and writes them out.
+// Tracing creates spans and exports them.
 type Tracing struct {
 	Tracer trace.Tracer
 	close  func(context.Context) error
 }
 
-// NewTracing returns tracing to the given output; ratio is the share of requests traced where the caller does not say.
+// NewTracing returns tracing to the given output; ratio is the share of requests traced if the caller's trace context does not decide it.
 func NewTracing(output string, ratio float64) (*Tracing, error) {
 	switch output {
 	case OutputOff:
-		return &Tracing{Tracer: noop.NewTracerProvider().Tracer("vaneyoke"), close: closeNothing}, nil
+		return &Tracing{Tracer: noop.NewTracerProvider().Tracer("vaneyoke"), close: noopClose}, nil
 	case OutputStdout:
 		return newTracing(os.Stdout, ratio, func() error { return nil })
 	}
@@ -42,7 +42,7 @@
 	return newTracing(file, ratio, file.Close)
 }
 
-func closeNothing(context.Context) error { return nil }
+func noopClose(context.Context) error { return nil }
 
 func newTracing(out io.Writer, ratio float64, closeOut func() error) (*Tracing, error) {
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(out))
@@ -64,5 +64,5 @@
 	return t, nil
 }
 
-// Close writes out what is left.
+// Close exports the remaining spans and closes the output.
 func (t *Tracing) Close(ctx context.Context) error { return t.close(ctx) }
