--- a/cmd/vaneyoked/gateway_test.go
+++ b/cmd/vaneyoked/gateway_test.go
@@ -53,7 +53,7 @@
 	s, err := settings.Parse([]byte(text), "node.ini")
 	must.NoError(t, err)
 	must.EqOp(t, 8*time.Second, s.Node.Grace)
-	must.True(t, s.Gateway.Serves())
+	must.True(t, s.Gateway.ServesOpaque())
 	must.EqOp(t, "10.0.0.1:1", s.Duties.Platform)
 	must.True(t, s.Duties.Fencing)
 	must.EqOp(t, time.Second, s.Duties.Window)
--- a/process/node/config.go
+++ b/process/node/config.go
@@ -18,19 +18,19 @@
 }
 
 const (
-	fleetMargin  = 0.8 // share of the fleet's bounds on retries that its nodes use
-	fleetUnknown = 16  // nodes that are assumed before the members are known
+	fleetBudgetMargin = 0.8 // share of the fleet's retry limits that its nodes use
+	defaultFleetSize  = 16  // number of nodes assumed until the membership is known
 )
 
-// fleetBudgetConfig returns a node's share of the bounds that hold for all nodes together, where such are set.
+// fleetBudgetConfig returns the retry budget of a node, including its share of the fleet-wide limits if they are set.
 func fleetBudgetConfig(s settings.Retry, members int) retry.BudgetConfig {
 	config := budgetConfig(s)
 	config.Window = s.FleetWindow
 	if s.FleetRatio > 0 {
-		config.Ratio = s.FleetRatio * fleetMargin
+		config.Ratio = s.FleetRatio * fleetBudgetMargin
 	}
 	if s.FleetBurst > 0 {
-		config.Burst = s.FleetBurst * fleetMargin / float64(max(members, 1)) // less than one is lent by others
+		config.Burst = s.FleetBurst * fleetBudgetMargin / float64(max(members, 1)) // with less than one retry, the node borrows from other nodes
 	}
 	return config
 }
@@ -46,7 +46,7 @@
 		Deviations: s.Recovery.Deviations,
 		Patience:   s.Recovery.Patience,
 	}
-	return relay.Config{Generation: config, PlainEvery: uint64(s.Log.PlainEvery), CallSilence: s.Limits.CallSilence, WholeLimit: s.Limits.WholeLimit}
+	return relay.Config{Generation: config, PlainEvery: uint64(s.Log.UneventfulLogEvery), CallSilence: s.Limits.CallSilence, WholeLimit: s.Limits.UnaryTimeout}
 }
 
 func apiConfig(s settings.Limits) callerapi.Config {
--- a/process/node/config_test.go
+++ b/process/node/config_test.go
@@ -8,12 +8,12 @@
 	"github.com/vaneyoke/vaneyoke/process/settings"
 )
 
-// TestNodesShareTheFleetsRetries holds what all nodes together may save up against the fleet's bound.
-func TestNodesShareTheFleetsRetries(t *testing.T) {
+// TestFleetRetryBudgetIsSharedAmongNodes checks that the bursts of all nodes together add up to the fleet's limit less its margin.
+func TestFleetRetryBudgetIsSharedAmongNodes(t *testing.T) {
 	s := settings.Retry{Ratio: 0.2, Burst: 500, FleetRatio: 0.8, FleetBurst: 150}
 	for _, members := range []int{1, 3, 7, 12, 88, 120, 295, 1043} {
 		config := fleetBudgetConfig(s, members)
-		must.InDelta(t, 150*fleetMargin, config.Burst*float64(members), 1e-9)
+		must.InDelta(t, 150*fleetBudgetMargin, config.Burst*float64(members), 1e-9)
 		must.Less(t, 0.8, config.Ratio)
 	}
 	s.FleetRatio, s.FleetBurst = 0, 0
--- a/process/node/control.go
+++ b/process/node/control.go
@@ -9,7 +9,7 @@
 	"github.com/samber/do/v2"
 )
 
-// controlClient is the HTTP client for the platform and the other nodes; it counts the bytes of both ways.
+// controlClient is the HTTP client for the platform and other nodes; it counts the bytes sent and received.
 type controlClient struct {
 	http           *http.Client
 	sent, received *expvar.Int
@@ -22,7 +22,7 @@
 	vars.Set("control_received_bytes_total", received)
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: idleConnsEach,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
@@ -35,18 +35,18 @@
 	return &controlClient{http: &http.Client{Transport: transport, Timeout: platformTimeout}, sent: sent, received: received}, nil
 }
 
-// count has the bytes of a listener's connections counted too.
-func (c *controlClient) count(l net.Listener) net.Listener {
+// countListener returns a listener whose connections are included in the byte counts.
+func (c *controlClient) countListener(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, control: c}
 }
 
-// countedListener accepts counted connections.
+// countedListener is a listener whose connections count their bytes.
 type countedListener struct {
 	net.Listener
 	control *controlClient
 }
 
-// Accept accepts and counts.
+// Accept returns the next connection, with its bytes counted.
 func (l *countedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -55,20 +55,20 @@
 	return &countedConn{Conn: conn, sent: l.control.sent, received: l.control.received}, nil
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn is a connection that counts its bytes.
 type countedConn struct {
 	net.Conn
 	sent, received *expvar.Int
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.received.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sent.Add(int64(n))
--- a/process/node/crash_guard.go
+++ b/process/node/crash_guard.go
@@ -10,28 +10,28 @@
 	"github.com/vaneyoke/vaneyoke/shell/quarantines"
 )
 
-// crashGuard tells a relay which requests end the upstreams that run them.
+// crashGuard connects a relay to the quarantine of requests that crash the upstreams that run them.
 type crashGuard struct{ crashes *quarantines.Node }
 
-// Crashed notes that an upstream ended as it began to run a request.
+// Crashed records that an upstream crashed when it started to run a request.
 func (g crashGuard) Crashed(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.RecordCrash(content, upstream, sentAt)
 }
 
-// Outlived notes that an upstream goes on which has lost a request as it began to run it.
+// Outlived records that an upstream lost a request when it started to run it, but did not crash.
 func (g crashGuard) Outlived(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.RecordLossWithoutCrash(content, upstream, sentAt)
 }
 
-// Survived notes that an upstream has answered a request in whole.
+// Survived records that an upstream completed a request.
 func (g crashGuard) Survived(content vaneyoke.ContentID) { g.crashes.RecordCompletion(content) }
 
-// Barred reports whether what a request asks is sent to no upstream.
+// Barred reports whether requests with this content are blocked, and for how long.
 func (g crashGuard) Barred(content vaneyoke.ContentID) (time.Duration, bool) {
 	return g.crashes.Blocked(content)
 }
 
-// callerPlacer is the balancer of a node of the caller API, which counts crashes for itself.
+// callerPlacer is the balancer of a node with the caller API, which counts crashes on its own, without other nodes.
 type callerPlacer struct {
 	*balancer.Balancer
 	crashGuard
--- a/process/node/crashes_wire.go
+++ b/process/node/crashes_wire.go
@@ -18,36 +18,36 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// crashTables gives a node's part in the quarantine what the store holds of it; it may stand before that part does.
+// crashTables passes the rows of the crashes table to the quarantine component. It may be created before that component.
 type crashTables struct {
 	node *quarantines.Node
 	log  logrus.FieldLogger
 }
 
-// set takes in the store's rows.
-func (t *crashTables) set(_ time.Time, rows watch.Rows) {
+// setRows passes on the rows of the crashes table.
+func (t *crashTables) setRows(_ time.Time, rows watch.Rows) {
 	t.node.SetRows(readRows(rows, t.log, platform.DecodeCrashes))
 }
 
-// readRows returns what rows tell; one that cannot be read is logged and left out.
+// readRows decodes rows; a row that cannot be decoded is logged and skipped.
 func readRows[T any](rows watch.Rows, log logrus.FieldLogger, decode func(key string, row watch.Row) (T, error)) []T {
-	all := make([]T, 0, len(rows))
+	values := make([]T, 0, len(rows))
 	for key, row := range rows {
 		value, err := decode(key, row)
 		if err != nil {
 			log.WithFields(logrus.Fields{"key": key, "error": err}).Error("row_unreadable")
 			continue
 		}
-		all = append(all, value)
+		values = append(values, value)
 	}
-	return all
+	return values
 }
 
 func provideCrashTables(i do.Injector) (*crashTables, error) {
 	return &crashTables{log: do.MustInvoke[logrus.FieldLogger](i)}, nil
 }
 
-// providePlacer returns what chooses upstreams for the relay, with the node's part in what the nodes tell one another of them.
+// providePlacer returns the placer that chooses upstreams for the relay, with the gossip between nodes about upstreams and crashes.
 func providePlacer(i do.Injector) (*gatewayPlacer, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	member := do.MustInvoke[*mesh.Node](i)
@@ -56,7 +56,7 @@
 		rollouts: do.MustInvoke[*rollouts.Node](i), limits: do.MustInvoke[*ratelimits.Node](i),
 		duties: do.MustInvoke[*duties.Node](i),
 	}
-	p.gossip = mesh.NewGossip(member, p.heard)
+	p.gossip = mesh.NewGossip(member, p.handleSighting)
 	p.crashes = quarantines.New(
 		quarantineConfig(s.Recovery),
 		platform.NewCrashes(do.MustInvoke[*storeClient](i).http, s.Gateway.Store), member, p.gossip,
--- a/process/node/debug.go
+++ b/process/node/debug.go
@@ -6,7 +6,7 @@
 	"net/http/pprof"
 )
 
-// registerDebug has metrics and profiles served.
+// registerDebug registers the handlers of metrics and profiles.
 func registerDebug(mux *http.ServeMux, vars *expvar.Map) {
 	mux.HandleFunc("GET /debug/vars", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/process/node/directory.go
+++ b/process/node/directory.go
@@ -11,7 +11,7 @@
 	"github.com/vaneyoke/vaneyoke/shell/catalog"
 )
 
-// directory tells the caller API what the node knows.
+// directory gives the caller API access to the configuration, the models and the readiness of the node.
 type directory struct {
 	follower   *catalog.Follower
 	policies   *policies
@@ -20,13 +20,13 @@
 	stopping   *atomic.Bool
 }
 
-// Current returns the newest configuration.
+// Current returns the active configuration.
 func (d *directory) Current() *catalog.Snapshot { return d.follower.Current() }
 
-// Models returns the models that engines offer.
+// Models returns the models that engines serve.
 func (d *directory) Models() []vaneyoke.ModelID { return d.balancer.Models() }
 
-// Ready returns nil where the node may take new work.
+// Ready returns nil if the node may accept new requests.
 func (d *directory) Ready() error {
 	if d.stopping.Load() {
 		return vaneyoke.ErrRetryAfter(vaneyoke.CodeStopping, stopRetryAfter, "the node is stopping; another takes the request")
@@ -37,10 +37,10 @@
 	return nil
 }
 
-// DataCentre returns the data centre that the node stands in.
+// DataCentre returns the data centre of the node.
 func (d *directory) DataCentre() vaneyoke.DataCentreID { return d.dataCentre }
 
-// Decide returns what the policies say about a request.
+// Decide returns the decision of the policies on a request.
 func (d *directory) Decide(now time.Time, q policy.Query) policy.Decision {
 	return d.policies.set().Decide(now, q)
 }
--- a/process/node/doc.go
+++ b/process/node/doc.go
@@ -1,2 +1,2 @@
-// Package node puts a node's parts together and runs them from start to stop.
+// Package node assembles the components of a node, starts them and shuts them down.
 package node
--- a/process/node/duties_wire.go
+++ b/process/node/duties_wire.go
@@ -21,32 +21,32 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// dutyTables gives a node's part in the duties what the store's tables hold; it may stand before that part does.
+// dutyTables passes the rows of the store's tables to the duties component. It may be created before that component.
 type dutyTables struct {
-	node *duties.Node // nil where there are no duties
+	node *duties.Node // nil without duties
 	log  logrus.FieldLogger
 }
 
-// setTerms takes in the operator's table.
-func (t *dutyTables) setTerms(now time.Time, rows watch.Rows) {
+// setScalingConfigs passes on the scaling configurations in the operator's table.
+func (t *dutyTables) setScalingConfigs(now time.Time, rows watch.Rows) {
 	if t.node == nil {
 		return
 	}
 	for key, row := range rows {
-		terms, ok, err := platform.DecodeTerms(key, row.Data)
+		configs, ok, err := platform.DecodeTerms(key, row.Data)
 		if err != nil {
 			t.log.WithFields(logrus.Fields{"key": key, "error": err}).Error("row_unreadable")
 		}
 		if ok && err == nil {
-			t.node.SetScalingConfigs(now, terms)
+			t.node.SetScalingConfigs(now, configs)
 		}
 	}
 }
 
-// setUpstreams takes in the list of upstreams.
-func (t *dutyTables) setUpstreams(now time.Time, all []vaneyoke.Upstream) {
+// setUpstreams passes on the list of upstreams.
+func (t *dutyTables) setUpstreams(now time.Time, upstreams []vaneyoke.Upstream) {
 	if t.node != nil {
-		t.node.SetUpstreams(now, all)
+		t.node.SetUpstreams(now, upstreams)
 	}
 }
 
@@ -54,10 +54,10 @@
 	return &dutyTables{log: do.MustInvoke[logrus.FieldLogger](i)}, nil
 }
 
-// dutyWaitShare is the part of a lease's time that a call of a duty may take.
-const dutyWaitShare = 4
+// leaseCallDivisor sets the timeout of a lease call: the TTL of the lease divided by it.
+const leaseCallDivisor = 4
 
-// provideDuties returns the node's part in the duties, nil where the settings name no address that takes their calls.
+// provideDuties returns the duties component, or nil if the settings contain no address for the calls of duties.
 func provideDuties(i do.Injector) (*duties.Node, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	if s.Duties.Platform == "" {
@@ -75,8 +75,8 @@
 
 func dutyConfig(s settings.Duties) duties.Config {
 	config := duties.Config{
-		Lease: lease.Config{TTL: s.Lease, CallTimeout: s.Lease / dutyWaitShare},
-		Usage: usage.Config{WindowLength: s.Window, ReportDeadline: s.Late},
+		Lease: lease.Config{TTL: s.Lease, CallTimeout: s.Lease / leaseCallDivisor},
+		Usage: usage.Config{WindowLength: s.Window, ReportDeadline: s.ReportDeadline},
 	}
 	if !s.Fencing {
 		config.Lease.TakeoverDelay = s.Lease
@@ -84,20 +84,20 @@
 	return config
 }
 
-// newDutyClient returns the HTTP client for calls of duties.
+// newDutyClient returns the HTTP client for the calls of duties.
 func newDutyClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: idleTimeout}}
 }
 
-// Began counts a request that an upstream began.
+// Began counts a request that an upstream started to run.
 func (b *gatewayPlacer) Began(workspace vaneyoke.WorkspaceID) {
 	if b.duties != nil {
 		b.duties.CountRequest(workspace)
 	}
 }
 
-// Used counts what an attempt took of a service's upstream.
+// Used adds the load that an attempt put on an upstream of a service.
 func (b *gatewayPlacer) Used(service vaneyoke.ServiceID, load capacity.Load) {
 	if b.duties != nil {
 		b.duties.AddLoad(service, load)
--- a/process/node/gateway.go
+++ b/process/node/gateway.go
@@ -28,59 +28,59 @@
 )
 
 const (
-	stopMargin    = 300 * time.Millisecond  // of the grace, to answer what is still open and to write out the log
-	earlyShare    = 3                       // requests that may last longer than the node are taken for no more than this part of the grace
-	notReadyKnown = 2200 * time.Millisecond // after which the platform sends no new connections to a node that is not ready
+	stopReserve           = 300 * time.Millisecond  // part of the grace reserved for answering open requests and flushing the log
+	lameDuckStreamDivisor = 3                       // requests that may outlast the node are accepted for at most 1/3 of the grace
+	notReadyPropagation   = 2200 * time.Millisecond // time until the platform stops sending new connections to a node that is not ready
 )
 
-// GatewayNode is a running process that takes opaque requests.
+// GatewayNode is a running node that serves opaque requests.
 type GatewayNode struct {
-	settings  settings.Settings // as of the start
-	current   atomic.Pointer[settings.Settings]
-	gateway   *gateway.Gateway
-	relay     *relay.Relay
-	mesh      *mesh.Node
-	lender    *mesh.Lender
-	rollouts  *rollouts.Node // nil where there are no roll-outs
-	crashes   *quarantines.Node
-	limits    *ratelimits.Node
-	duties    *duties.Node // nil where there are none
-	directory *routes
-	vars      *expvar.Map
-	tracing   *telemetry.Tracing
-	log       logrus.FieldLogger
+	settings settings.Settings // as loaded at the start
+	current  atomic.Pointer[settings.Settings]
+	gateway  *gateway.Gateway
+	relay    *relay.Relay
+	mesh     *mesh.Node
+	lender   *mesh.Lender
+	rollouts *rollouts.Node // nil without rollouts
+	crashes  *quarantines.Node
+	limits   *ratelimits.Node
+	duties   *duties.Node // nil without duties
+	active   *activeConfig
+	vars     *expvar.Map
+	tracing  *telemetry.Tracing
+	log      logrus.FieldLogger
 
 	stop      context.CancelFunc
-	work      sync.WaitGroup
-	servers   []*serve.Server // of the listeners, in their order
-	listeners []net.Listener  // for callers, readiness, metrics and, where there are any, other nodes
+	tasks     sync.WaitGroup
+	servers   []*serve.Server // one for each listener, in the same order
+	listeners []net.Listener  // for callers, readiness, metrics and, if configured, other nodes
 }
 
-// port is an address that the node listens on.
-type port struct {
-	address string
-	handler http.Handler
-	spare   bool // whether the node serves without it
+// endpoint is an address that the node listens on, with its handler.
+type endpoint struct {
+	address  string
+	handler  http.Handler
+	optional bool // whether the node starts without it
 }
 
-// Start opens the node's addresses and begins to serve.
+// Start opens the node's listeners and starts serving.
 func (n *GatewayNode) Start(ctx context.Context) error {
 	s := n.settings
 	n.current.Store(&s)
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET /readyz", n.gateway.ServeReadiness)
-	ports := []port{
+	endpoints := []endpoint{
 		{address: s.Gateway.Listen, handler: n.gateway},
 		{address: s.Gateway.Readiness, handler: ready},
-		{address: s.Node.Admin, handler: n.metrics(), spare: true},
+		{address: s.Node.Admin, handler: n.adminHandler(), optional: true},
 	}
 	var handlers []http.Handler
 	if s.Gateway.Peers != "" {
-		ports = append(ports, port{address: s.Gateway.Peers, handler: n.peers()})
+		endpoints = append(endpoints, endpoint{address: s.Gateway.Peers, handler: n.peerHandler()})
 	}
-	for _, p := range ports {
-		l, err := listen(ctx, p.address)
-		if err != nil && p.spare {
+	for _, e := range endpoints {
+		l, err := listen(ctx, e.address)
+		if err != nil && e.optional {
 			n.log.WithField("error", err).Error("listen_failed")
 			continue
 		}
@@ -89,17 +89,17 @@
 			return err
 		}
 		n.listeners = append(n.listeners, l)
-		handlers = append(handlers, p.handler)
+		handlers = append(handlers, e.handler)
 	}
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
 	n.stop = stop
-	n.work.Go(func() { n.mesh.Run(run) })
-	n.work.Go(func() { watchSuspensions(run, n.relay, n.log) })
+	n.tasks.Go(func() { n.mesh.Run(run) })
+	n.tasks.Go(func() { watchSuspensions(run, n.relay, n.log) })
 	if n.rollouts != nil {
-		n.work.Go(func() { n.rollouts.Run(run) })
+		n.tasks.Go(func() { n.rollouts.Run(run) })
 	}
 	if n.duties != nil {
-		n.work.Go(func() { n.duties.Run(run) })
+		n.tasks.Go(func() { n.duties.Run(run) })
 	}
 	for i, l := range n.listeners {
 		n.serve(l, handlers[i])
@@ -117,10 +117,10 @@
 	}
 }
 
-// URL returns the address that callers use.
+// URL returns the base URL for callers.
 func (n *GatewayNode) URL() string { return "http://" + n.listeners[0].Addr().String() }
 
-// ReadyURL returns the address at which the node tells whether it takes new connections.
+// ReadyURL returns the URL of the readiness probe.
 func (n *GatewayNode) ReadyURL() string {
 	return "http://" + n.listeners[1].Addr().String() + "/readyz"
 }
@@ -131,15 +131,15 @@
 		HeaderWait: s.HeaderWait, IdleWait: s.IdleWait, HeaderBytes: s.HeaderBytes, Errors: serverErrors(n.log),
 	})
 	n.servers = append(n.servers, server)
-	n.work.Go(func() {
+	n.tasks.Go(func() {
 		if err := server.Serve(l); err != nil {
 			n.log.WithField("error", err).Error("server_failed")
 		}
 	})
 }
 
-// peers returns what other nodes may ask for.
-func (n *GatewayNode) peers() http.Handler {
+// peerHandler returns the handler for requests of other nodes.
+func (n *GatewayNode) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", n.mesh.Handler())
 	mux.Handle("POST "+mesh.BorrowPath, n.lender)
@@ -152,57 +152,57 @@
 	return mux
 }
 
-func (n *GatewayNode) metrics() http.Handler {
+func (n *GatewayNode) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	registerDebug(mux, n.vars)
 	mux.HandleFunc("GET /debug/members", n.mesh.ServeMembers)
 	return mux
 }
 
-// Reload takes in how long the node may take to stop; all else holds from the next start.
+// Reload applies the changed grace and lame-duck time; all other changes need a restart.
 func (n *GatewayNode) Reload(s settings.Settings) {
 	n.current.Store(&s)
 	restart := s
-	restart.Node.Grace, restart.Gateway.Lame = n.settings.Node.Grace, n.settings.Gateway.Lame
+	restart.Node.Grace, restart.Gateway.LameDuck = n.settings.Node.Grace, n.settings.Gateway.LameDuck
 	n.log.WithFields(logrus.Fields{
-		"taken": true, "grace": s.Node.Grace, "lame": s.Gateway.Lame, "needs_restart": restart != n.settings,
+		"taken": true, "grace": s.Node.Grace, "lame": s.Gateway.LameDuck, "needs_restart": restart != n.settings,
 	}).Info("settings_reloaded")
 }
 
-// StopTaking tells callers that the node is not ready; it goes on to take what it can answer until it ends.
-func (n *GatewayNode) StopTaking(now, until time.Time) {
-	early := min(n.current.Load().Gateway.LameStreams, until.Sub(now)/earlyShare)
-	n.gateway.Stop(gateway.Stopping{Since: now, Until: until, Calm: notReadyKnown, Early: early})
+// EnterLameDuck makes the node report that it is not ready; it keeps accepting requests that it can answer before the deadline.
+func (n *GatewayNode) EnterLameDuck(now, deadline time.Time) {
+	lameDuckStreams := min(n.current.Load().Gateway.LameDuckStreams, deadline.Sub(now)/lameDuckStreamDivisor)
+	n.gateway.Stop(gateway.Stopping{Since: now, Until: deadline, Calm: notReadyPropagation, Early: lameDuckStreams})
 	n.callers().Retire()
 }
 
 // callers returns the server that callers use.
 func (n *GatewayNode) callers() *serve.Server { return n.servers[0] }
 
-// Stop tells that the node is not ready, serves on for a while, and lets the open requests finish within the grace; those
-// that are left then get a last answer that says what is known of them.
+// Stop reports that the node is not ready, serves on for the lame-duck time, and waits up to the grace for open requests to finish.
+// Requests that are still open then get a final answer with what is known about them.
 func (n *GatewayNode) Stop(ctx context.Context) error {
 	s := n.current.Load()
-	grace := s.Node.Grace - stopMargin
-	now := time.Now()
-	until := now.Add(grace)
-	n.StopTaking(now, until)
+	grace := s.Node.Grace - stopReserve
+	stopping := time.Now()
+	deadline := stopping.Add(grace)
+	n.EnterLameDuck(stopping, deadline)
 	if n.duties != nil {
 		n.duties.ReleaseLeases()
 	}
-	n.log.WithFields(logrus.Fields{"open": n.gateway.Open(), "grace": s.Node.Grace, "lame": s.Gateway.Lame}).Info("node_stopping")
-	pause.For(ctx, min(s.Gateway.Lame, grace))
-	interrupted := finish(ctx, n.callers(), n.relay, until)
-	cut := logCutOff(n.log, n.callers(), now)
+	n.log.WithFields(logrus.Fields{"open": n.gateway.Open(), "grace": s.Node.Grace, "lame": s.Gateway.LameDuck}).Info("node_stopping")
+	pause.For(ctx, min(s.Gateway.LameDuck, grace))
+	interrupted := drainServer(ctx, n.callers(), n.relay, deadline)
+	cutOff := logCutOff(n.log, n.callers(), stopping)
 	if n.duties != nil {
 		n.duties.Flush(ctx)
 	}
 	n.Kill()
-	err := told(n.log, now, interrupted, cut)
+	err := logStopped(n.log, stopping, interrupted, cutOff)
 	return errors.Join(err, n.tracing.Close(context.WithoutCancel(ctx)))
 }
 
-// Kill closes the node at once, as the death of its process would.
+// Kill closes the node immediately, as a crash of its process would.
 func (n *GatewayNode) Kill() {
 	n.stop()
 	n.crashes.Close()
@@ -211,5 +211,5 @@
 	for _, server := range n.servers {
 		_ = server.Close()
 	}
-	n.work.Wait()
+	n.tasks.Wait()
 }
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -17,21 +17,21 @@
 	"github.com/vaneyoke/vaneyoke/shell/rollouts"
 )
 
-// gatewayPlacer is a balancer that borrows a retry from another node where the own budget is spent, and tells how upstreams
-// answered during roll-outs.
+// gatewayPlacer is a balancer that borrows a retry from another node when the node's own budget is exhausted, and that reports to
+// the rollouts, duties and gossip components how upstreams answered.
 type gatewayPlacer struct {
 	*balancer.Balancer
 	lender   *mesh.Lender
 	mesh     *mesh.Node
-	rollouts *rollouts.Node // nil where there are no roll-outs
+	rollouts *rollouts.Node // nil without rollouts
 	gossip   *mesh.Gossip
 	limits   *ratelimits.Node
-	duties   *duties.Node // nil where there are none
+	duties   *duties.Node // nil without duties
 	crashGuard
 }
 
-// heard takes in what another node saw: of an upstream, or of what a request did to one.
-func (b *gatewayPlacer) heard(s gossip.Sighting) {
+// handleSighting applies what another node observed about an upstream or about a request content.
+func (b *gatewayPlacer) handleSighting(s gossip.Sighting) {
 	if s.Kind.OfRun() {
 		b.crashes.RecordGossip(s)
 		return
@@ -39,45 +39,45 @@
 	b.Heard(s)
 }
 
-// Place returns an upstream.
+// Place chooses an upstream for an attempt.
 func (b *gatewayPlacer) Place(need placement.Need, isRetry bool) (vaneyoke.Upstream, time.Duration, error) {
 	upstream, expect, err := b.Balancer.Place(need, isRetry)
 	if vaneyoke.CodeOf(err) != vaneyoke.CodeRetryExhausted || !b.lender.Borrow(context.Background(), need.Service) {
 		return upstream, expect, err
 	}
-	return b.Balancer.Place(need, false) // it counts where it was lent
+	return b.Balancer.Place(need, false) // the lending node's budget pays for the retry
 }
 
-// Limited reports whether an upstream names a limit.
+// Limited reports whether an upstream declares a rate limit.
 func (b *gatewayPlacer) Limited(id vaneyoke.UpstreamID) bool { return b.limits.Limited(id) }
 
-// Permit looks for a permit to send something to an upstream.
+// Permit acquires a permit to send a request to an upstream.
 func (b *gatewayPlacer) Permit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
 	return relay.Permit(b.limits.AcquirePermit(ctx, id))
 }
 
-// Withheld notes that there was none for an attempt that had been placed.
+// Withheld records that a placed attempt got no permit.
 func (b *gatewayPlacer) Withheld(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
 	b.Balancer.Withheld(need, isRetry, id, permit.Next, permit.Turn)
 }
 
-// Answered notes how an upstream answered.
+// Answered records an upstream's answer for the rollout of its service.
 func (b *gatewayPlacer) Answered(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
 	if b.rollouts != nil {
 		b.rollouts.RecordAnswer(steady.Now(), upstream, route, answer)
 	}
 }
 
-// Doubts reports whether upstreams may have been replaced without the list saying so.
+// Doubts reports whether the list of upstreams may be stale, so that it may miss upstreams that were replaced.
 func (b *gatewayPlacer) Doubts() bool { return b.mesh.Stale() }
 
-// FirstToken notes that an attempt's first token came after a while.
+// FirstToken records an attempt's time to the first token.
 func (b *gatewayPlacer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
 	b.Balancer.FirstToken(id, took, promptBytes)
 	b.gossip.Seen(id, gossip.KindWell)
 }
 
-// Ended notes how an attempt came out, and tells the other nodes where that says something of the upstream.
+// Ended records the outcome of an attempt, and gossips it if it says something about the upstream's reachability.
 func (b *gatewayPlacer) Ended(id vaneyoke.UpstreamID, outcome placement.Outcome, begun bool) {
 	b.Balancer.Ended(id, outcome, begun)
 	switch outcome {
@@ -89,6 +89,6 @@
 		b.gossip.Seen(id, gossip.KindUnreachable)
 	case placement.OutcomeGone:
 		b.gossip.Seen(id, gossip.KindGone)
-	default: // says nothing of the way to it
+	default: // says nothing about whether the upstream is reachable
 	}
 }
--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -27,7 +27,7 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// BuildGateway puts together a node that takes opaque requests.
+// BuildGateway assembles a node that serves opaque requests from its settings.
 func BuildGateway(s settings.Settings, log logrus.FieldLogger) (*GatewayNode, error) {
 	i := do.New()
 	do.ProvideValue(i, s)
@@ -36,7 +36,7 @@
 	do.Provide(i, provideTracing)
 	do.Provide(i, provideBalancer)
 	do.Provide(i, provideStoreClient)
-	do.Provide(i, provideDirectory)
+	do.Provide(i, provideActiveConfig)
 	do.Provide(i, provideMesh)
 	do.Provide(i, provideLender)
 	do.Provide(i, provideRolloutTables)
@@ -55,11 +55,12 @@
 	return do.Invoke[*GatewayNode](i)
 }
 
-// probes find an upstream that has gone without a word while it owes an answer; seconds are the finest that the system takes.
-var probes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1}
+// upstreamKeepAlive detects an upstream that disappeared without closing its connections while a request waits for its answer. The
+// operating system takes whole seconds only.
+var upstreamKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1}
 
-// peerDialWait is the longest wait for a connection to another node.
-const peerDialWait = 200 * time.Millisecond
+// peerDialTimeout bounds the wait for a connection to another node.
+const peerDialTimeout = 200 * time.Millisecond
 
 // storeClient is the HTTP client for the store.
 type storeClient struct{ http *http.Client }
@@ -69,18 +70,18 @@
 	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: idleTimeout}
 	total := new(expvar.Map).Init()
 	do.MustInvoke[*expvar.Map](i).Set("store_calls_total", total)
-	return &storeClient{http: &http.Client{Transport: &storeCalls{next: transport, total: total}}}, nil
+	return &storeClient{http: &http.Client{Transport: &storeCallCounter{next: transport, total: total}}}, nil
 }
 
-func provideDirectory(i do.Injector) (*routes, error) {
-	r := newRoutes(do.MustInvoke[*balancer.Balancer](i), do.MustInvoke[logrus.FieldLogger](i))
-	do.MustInvoke[*expvar.Map](i).Set("configuration_version", expvar.Func(func() any { return r.version() }))
-	return r, nil
+func provideActiveConfig(i do.Injector) (*activeConfig, error) {
+	active := newActiveConfig(do.MustInvoke[*balancer.Balancer](i), do.MustInvoke[logrus.FieldLogger](i))
+	do.MustInvoke[*expvar.Map](i).Set("configuration_version", expvar.Func(func() any { return active.version() }))
+	return active, nil
 }
 
 func provideForwarder(i do.Injector) (*relay.Relay, error) {
 	s := do.MustInvoke[settings.Settings](i)
-	dialer := &net.Dialer{Timeout: s.Gateway.DialWait, KeepAliveConfig: probes}
+	dialer := &net.Dialer{Timeout: s.Gateway.DialWait, KeepAliveConfig: upstreamKeepAlive}
 	placer := do.MustInvoke[*gatewayPlacer](i)
 	r := relay.New(
 		nil,
@@ -99,7 +100,7 @@
 	s := do.MustInvoke[settings.Settings](i)
 	config := gateway.Config{BodyBytes: s.Limits.BodyBytes, MaxWait: s.Gateway.MaxWait, WriteTimeout: s.Limits.WriteTimeout}
 	return gateway.New(
-		config, platform.Codec{}, do.MustInvoke[*routes](i), do.MustInvoke[*relay.Relay](i),
+		config, platform.Codec{}, do.MustInvoke[*activeConfig](i), do.MustInvoke[*relay.Relay](i),
 		gateway.NewMetrics(do.MustInvoke[*expvar.Map](i)), do.MustInvoke[logrus.FieldLogger](i),
 	), nil
 }
@@ -107,56 +108,56 @@
 func provideGatewayNode(i do.Injector) (*GatewayNode, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	return &GatewayNode{
-		settings:  s,
-		gateway:   do.MustInvoke[*gateway.Gateway](i),
-		relay:     do.MustInvoke[*relay.Relay](i),
-		mesh:      do.MustInvoke[*mesh.Node](i),
-		lender:    do.MustInvoke[*mesh.Lender](i),
-		rollouts:  do.MustInvoke[*rollouts.Node](i),
-		crashes:   do.MustInvoke[*gatewayPlacer](i).crashes,
-		limits:    do.MustInvoke[*ratelimits.Node](i),
-		duties:    do.MustInvoke[*duties.Node](i),
-		directory: do.MustInvoke[*routes](i),
-		vars:      do.MustInvoke[*expvar.Map](i),
-		tracing:   do.MustInvoke[*telemetry.Tracing](i),
-		log:       do.MustInvoke[logrus.FieldLogger](i),
+		settings: s,
+		gateway:  do.MustInvoke[*gateway.Gateway](i),
+		relay:    do.MustInvoke[*relay.Relay](i),
+		mesh:     do.MustInvoke[*mesh.Node](i),
+		lender:   do.MustInvoke[*mesh.Lender](i),
+		rollouts: do.MustInvoke[*rollouts.Node](i),
+		crashes:  do.MustInvoke[*gatewayPlacer](i).crashes,
+		limits:   do.MustInvoke[*ratelimits.Node](i),
+		duties:   do.MustInvoke[*duties.Node](i),
+		active:   do.MustInvoke[*activeConfig](i),
+		vars:     do.MustInvoke[*expvar.Map](i),
+		tracing:  do.MustInvoke[*telemetry.Tracing](i),
+		log:      do.MustInvoke[logrus.FieldLogger](i),
 	}, nil
 }
 
 func provideMesh(i do.Injector) (*mesh.Node, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	client := do.MustInvoke[*storeClient](i).http
-	directory := do.MustInvoke[*routes](i)
+	active := do.MustInvoke[*activeConfig](i)
 	config := mesh.DefaultConfig().InForceWithin(s.Gateway.InForceWithin)
-	config.SingleNode.PollWait = s.Gateway.FeedWait
+	config.SingleNode.PollWait = s.Gateway.PollWait
 	if s.Gateway.FirstStart {
 		config = config.AtFirstStart()
 	}
-	config.SingleNode = config.SingleNode.RecoverWithin(s.Gateway.BackWithin)
-	config.Reader = config.Reader.RecoverWithin(s.Gateway.BackWithin)
+	config.SingleNode = config.SingleNode.RecoverWithin(s.Gateway.RecoverWithin)
+	config.Reader = config.Reader.RecoverWithin(s.Gateway.RecoverWithin)
 	if s.Gateway.Peers == "" {
-		config.Feed.First, config.Feed.Choices = 0, 0 // it follows nobody
+		config.Feed.First, config.Feed.Choices = 0, 0 // it follows no other node
 	}
 	members := platform.NewMembers(client, s.Gateway.Store)
-	moves := do.MustInvoke[*rolloutTables](i)
-	directory.rollouts = moves
-	limits := do.MustInvoke[*limitTables](i)
-	directory.limits = limits
-	directory.duties = do.MustInvoke[*dutyTables](i)
+	rolloutUpdates := do.MustInvoke[*rolloutTables](i)
+	active.rollouts = rolloutUpdates
+	limitUpdates := do.MustInvoke[*limitTables](i)
+	active.limits = limitUpdates
+	active.duties = do.MustInvoke[*dutyTables](i)
 	var node *mesh.Node
 	tables := map[string]mesh.Table{
-		"routes":    {Source: platform.NewConfig(client, s.Gateway.Store), Apply: directory.setTables},
-		"crashes":   {Source: platform.NewCrashes(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: do.MustInvoke[*crashTables](i).set},
-		"upstreams": {Source: platform.NewEngines(client, s.Gateway.Store), Apply: directory.setUpstreams, Grace: lapseGrace(s.Gateway)},
+		"routes":    {Source: platform.NewConfig(client, s.Gateway.Store), Apply: active.setRoutes},
+		"crashes":   {Source: platform.NewCrashes(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: do.MustInvoke[*crashTables](i).setRows},
+		"upstreams": {Source: platform.NewEngines(client, s.Gateway.Store), Apply: active.setUpstreams, Grace: removalGrace(s.Gateway)},
 		"members": {Source: members, MayLag: true, Apply: func(_ time.Time, rows watch.Rows) {
 			node.SetMembers(mesh.DecodeMembers(rows))
-			limits.setMembers(node.Registered())
-			directory.balancer.SetRetryBurst(fleetBudgetConfig(s.Retry, node.Members()).Burst)
+			limitUpdates.setMembers(node.Registered())
+			active.balancer.SetRetryBurst(fleetBudgetConfig(s.Retry, node.Members()).Burst)
 		}},
 	}
-	tables["limits"] = mesh.Table{Source: platform.NewLimits(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: limits.setRows}
+	tables["limits"] = mesh.Table{Source: platform.NewLimits(client, s.Gateway.Store), MayLag: true, Optional: true, Apply: limitUpdates.setRows}
 	if s.Rollout.Exposure > 0 {
-		tables["rollouts"] = mesh.Table{Source: platform.NewRollouts(client, s.Gateway.Store), MayLag: true, Apply: moves.setRecords}
+		tables["rollouts"] = mesh.Table{Source: platform.NewRollouts(client, s.Gateway.Store), MayLag: true, Apply: rolloutUpdates.setRecords}
 	}
 	hub := mesh.NewHub(tables)
 	self := feed.Member{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre), Address: s.Gateway.Peers, Bandwidth: s.Node.Bandwidth, Speaks: feed.DialectOwn}
@@ -164,9 +165,9 @@
 	vars.Set("build", expvar.Func(func() any { return vaneyoke.Build() }))
 	vars.Set("speaks", expvar.Func(func() any { return feed.DialectOwn }))
 	node = mesh.New(self, config, hub, members, newPeerClient(), mesh.NewMetrics(vars), do.MustInvoke[logrus.FieldLogger](i))
-	vars.Set("upstreams", expvar.Func(func() any { return countUpstreams(directory.balancer.Loads()) }))
-	vars.Set("upstreams_failing", expvar.Func(func() any { return failingUpstreams(directory.balancer.Loads()) }))
-	vars.Set("retries_left", expvar.Func(func() any { return directory.balancer.RetriesLeft() }))
+	vars.Set("upstreams", expvar.Func(func() any { return countUpstreams(active.balancer.Loads()) }))
+	vars.Set("upstreams_failing", expvar.Func(func() any { return failingUpstreams(active.balancer.Loads()) }))
+	vars.Set("retries_left", expvar.Func(func() any { return active.balancer.RetriesLeft() }))
 	vars.Set("memory_bytes", expvar.Func(func() any { return memoryBytes() }))
 	vars.Set("members", expvar.Func(func() any { return node.Members() }))
 	vars.Set("tables_age_ms", expvar.Func(func() any { return hub.Status(steady.Now()).Age.Milliseconds() }))
@@ -177,22 +178,22 @@
 	return mesh.NewLender(do.MustInvoke[*mesh.Node](i), do.MustInvoke[*balancer.Balancer](i).Lend), nil
 }
 
-// lapseShare is the share of the bound for leaving upstreams for which one whose entry lapsed is used at the most.
-const lapseShare = 0.8
+// removalGraceShare bounds the removal grace, as a share of the time within which a leaving upstream must be drained.
+const removalGraceShare = 0.8
 
-// lapseGrace returns how long upstreams are used whose entries lapsed while the store was away.
-func lapseGrace(s settings.Gateway) time.Duration {
-	return min(s.LapseGrace, time.Duration(lapseShare*float64(s.DrainWithin)))
+// removalGrace returns how long upstreams stay in use whose entries expired during an outage of the store.
+func removalGrace(s settings.Gateway) time.Duration {
+	return min(s.RemovalGrace, time.Duration(removalGraceShare*float64(s.DrainWithin)))
 }
 
-// newPeerClient returns the HTTP client for other nodes; it bounds no answer's time, because answers do not end.
+// newPeerClient returns the HTTP client for other nodes. It has no timeout, because responses are endless streams.
 func newPeerClient() *http.Client {
-	dialer := &net.Dialer{Timeout: peerDialWait}
+	dialer := &net.Dialer{Timeout: peerDialTimeout}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}}
 }
 
 func newBalancer(s settings.Settings) *balancer.Balancer {
 	state := placement.New(vaneyoke.DataCentreID(s.Node.DataCentre), breakerConfig(s.Retry))
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return balancer.New(state, fleetBudgetConfig(s.Retry, fleetUnknown), rng)
+	return balancer.New(state, fleetBudgetConfig(s.Retry, defaultFleetSize), rng)
 }
--- a/process/node/limits_wire.go
+++ b/process/node/limits_wire.go
@@ -19,45 +19,45 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// limitTables gives a node's part in keeping limits what the store's tables hold; it may stand before that part does.
+// limitTables passes the rows of the store's tables to the rate-limit component. It may be created before that component.
 type limitTables struct {
 	node *ratelimits.Node
 	log  logrus.FieldLogger
 }
 
-// setRows takes in the store's rows.
+// setRows passes on the rows of the limits table.
 func (t *limitTables) setRows(_ time.Time, rows watch.Rows) {
 	t.node.SetRows(readRows(rows, t.log, platform.DecodeLimit))
 }
 
-// setMembers takes in the members of the fleet.
-func (t *limitTables) setMembers(all []feed.Member) {
-	t.node.SetMembers(lo.Map(all, func(m feed.Member, _ int) ratelimit.Member {
+// setMembers passes on the members of the fleet.
+func (t *limitTables) setMembers(members []feed.Member) {
+	t.node.SetMembers(lo.Map(members, func(m feed.Member, _ int) ratelimit.Member {
 		return ratelimit.Member{VM: m.VM, DataCentre: m.DataCentre, SupportsLimits: m.Speaks >= feed.DialectLimits}
 	}))
 }
 
-// setUpstreams takes in the upstreams that are listed.
-func (t *limitTables) setUpstreams(all []vaneyoke.Upstream) { t.node.SetUpstreams(all) }
+// setUpstreams passes on the list of upstreams.
+func (t *limitTables) setUpstreams(upstreams []vaneyoke.Upstream) { t.node.SetUpstreams(upstreams) }
 
 func provideLimitTables(i do.Injector) (*limitTables, error) {
 	return &limitTables{log: do.MustInvoke[logrus.FieldLogger](i)}, nil
 }
 
-// provideLimits returns the node's part in keeping the limits that upstreams name. One that talks to no other node keeps them alone.
+// provideLimits returns the component that enforces the limits that upstreams declare. A node without a peer address enforces them alone.
 func provideLimits(i do.Injector) (*ratelimits.Node, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	member := do.MustInvoke[*mesh.Node](i)
 	vm, dataCentre := vaneyoke.VMID(s.Node.VM), vaneyoke.DataCentreID(s.Node.DataCentre)
-	n := ratelimits.New(
+	limits := ratelimits.New(
 		vm, dataCentre, member, platform.NewLimits(do.MustInvoke[*storeClient](i).http, s.Gateway.Store), do.MustInvoke[*balancer.Balancer](i).SetLimit,
 		ratelimits.NewMetrics(do.MustInvoke[*expvar.Map](i)), do.MustInvoke[logrus.FieldLogger](i),
 	)
-	member.OnLimits(n.HandleMessage)
-	member.OnNeighbours(n.SetNeighbours)
-	do.MustInvoke[*limitTables](i).node = n
+	member.OnLimits(limits.HandleMessage)
+	member.OnNeighbours(limits.SetNeighbours)
+	do.MustInvoke[*limitTables](i).node = limits
 	if s.Gateway.Peers == "" {
-		n.SetMembers([]ratelimit.Member{{VM: vm, DataCentre: dataCentre, SupportsLimits: true}})
+		limits.SetMembers([]ratelimit.Member{{VM: vm, DataCentre: dataCentre, SupportsLimits: true}})
 	}
-	return n, nil
+	return limits, nil
 }
--- a/process/node/list_bench_test.go
+++ b/process/node/list_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// listOf returns the rows of so many engines.
-func listOf(b *testing.B, count int) watch.Rows {
+// upstreamRows returns the rows of the given number of engines.
+func upstreamRows(b *testing.B, count int) watch.Rows {
 	rows := watch.Rows{}
 	for i := range count {
 		data, err := json.Marshal(map[string]any{
@@ -29,10 +29,10 @@
 	return rows
 }
 
-// BenchmarkTakeList takes in a list of upstreams: the whole of it, and with one that changed.
+// BenchmarkTakeList applies a list of upstreams: in a new node, and again after one row has changed.
 func BenchmarkTakeList(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 20_000} {
-		rows := listOf(b, count)
+		rows := upstreamRows(b, count)
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		s, err := settings.Parse([]byte("[node]\nvm = vm-1\ndata_centre = a\n[gateway]\nlisten = 127.0.0.1:0\nreadiness = 127.0.0.1:0\nstore = 127.0.0.1:1\n"), "node.ini")
@@ -45,20 +45,20 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				n.directory.setUpstreams(time.Now(), rows)
+				n.active.setUpstreams(time.Now(), rows)
 			}
 		})
 		n, err := BuildGateway(s, log)
 		if err != nil {
 			b.Fatal(err)
 		}
-		n.directory.setUpstreams(time.Now(), rows)
+		n.active.setUpstreams(time.Now(), rows)
 		b.Run(fmt.Sprint("one/", count), func(b *testing.B) {
 			for b.Loop() {
 				row := rows["i-00000007"]
 				row.Version++
 				rows["i-00000007"] = row
-				n.directory.setUpstreams(time.Now(), rows)
+				n.active.setUpstreams(time.Now(), rows)
 			}
 		})
 	}
--- a/process/node/node.go
+++ b/process/node/node.go
@@ -27,29 +27,29 @@
 )
 
 const (
-	headerTimeout  = 10 * time.Second
-	drainPoll      = 50 * time.Millisecond
-	stopRetryAfter = time.Second
-	leaveTimeout   = 2 * time.Second
-	leaveShare     = 3 // the last answers and the leave take no more than this part of the grace
-	// controlWait is the longest wait for operators' and other nodes' requests; a change is confirmed or given up within three seconds.
-	controlWait = 3500 * time.Millisecond
+	headerTimeout     = 10 * time.Second
+	drainPollInterval = 50 * time.Millisecond
+	stopRetryAfter    = time.Second
+	leaveTimeout      = 2 * time.Second
+	leaveGraceDivisor = 3 // final answers and leaving the membership take at most 1/3 of the grace
+	// controlTimeout bounds the wait for requests of operators and other nodes; a change is confirmed or abandoned within three seconds.
+	controlTimeout = 3500 * time.Millisecond
 )
 
-// The places of the servers among a node's.
+// Indexes into Node.servers.
 const (
 	callerServer = iota
 	adminServer
 	peerServer
 )
 
-// Node is one running entry process.
+// Node is a running node that serves the caller API.
 type Node struct {
 	settings settings.Settings
 	api      *callerapi.API
 	follower *catalog.Follower
 	policies *policies
-	roster   *roster
+	vmList   *vmList
 	relay    *relay.Relay
 	failover *failover.Manager
 	claims   *claims.Claims
@@ -60,16 +60,16 @@
 	tracing  *telemetry.Tracing
 	log      logrus.FieldLogger
 
-	stopping *atomic.Bool
-	stop     context.CancelFunc
-	work     sync.WaitGroup
-	servers  []*serve.Server // for callers, operators and other nodes, in this order
-	callerAt net.Listener
-	adminAt  net.Listener
-	peerAt   net.Listener
+	stopping       *atomic.Bool
+	stop           context.CancelFunc
+	tasks          sync.WaitGroup
+	servers        []*serve.Server // indexed by callerServer, adminServer and peerServer
+	callerListener net.Listener
+	adminListener  net.Listener
+	peerListener   net.Listener
 }
 
-// Start opens the node's addresses and begins to serve.
+// Start opens the node's listeners and starts serving.
 func (n *Node) Start(ctx context.Context) error {
 	if err := n.open(ctx); err != nil {
 		n.closeListeners()
@@ -77,38 +77,38 @@
 	}
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
 	n.stop = stop
-	n.roster.readOrLog(ctx)
+	n.vmList.refreshOrLog(ctx)
 	n.follower.Poll(ctx)
-	n.work.Go(func() { n.follower.Run(run) })
-	n.work.Go(func() { watchSuspensions(run, n.relay, n.log) })
-	n.work.Go(func() { n.roster.run(run) })
-	n.work.Go(func() { n.policies.run(run) })
-	n.work.Go(func() { n.failover.Run(run) })
-	n.work.Go(func() { n.claims.Run(run) })
-	n.serve(n.api.Handler(), n.callerAt)
-	n.serve(n.adminHandler(), n.adminAt)
-	n.serve(n.peerAPI, n.control.count(n.peerAt))
+	n.tasks.Go(func() { n.follower.Run(run) })
+	n.tasks.Go(func() { watchSuspensions(run, n.relay, n.log) })
+	n.tasks.Go(func() { n.vmList.run(run) })
+	n.tasks.Go(func() { n.policies.run(run) })
+	n.tasks.Go(func() { n.failover.Run(run) })
+	n.tasks.Go(func() { n.claims.Run(run) })
+	n.serve(n.api.Handler(), n.callerListener)
+	n.serve(n.adminHandler(), n.adminListener)
+	n.serve(n.peerAPI, n.control.countListener(n.peerListener))
 	n.log.WithFields(logrus.Fields{
 		"vm": n.settings.Node.VM, "data_centre": n.settings.Node.DataCentre,
-		"listen": n.callerAt.Addr(), "admin": n.adminAt.Addr(), "peer": n.peerAt.Addr(),
+		"listen": n.callerListener.Addr(), "admin": n.adminListener.Addr(), "peer": n.peerListener.Addr(),
 	}).Info("node_started")
 	return nil
 }
 
 func (n *Node) open(ctx context.Context) error {
 	var err error
-	if n.callerAt, err = listen(ctx, n.settings.Node.Listen); err != nil {
+	if n.callerListener, err = listen(ctx, n.settings.Node.Listen); err != nil {
 		return err
 	}
-	if n.adminAt, err = listen(ctx, n.settings.Node.Admin); err != nil {
+	if n.adminListener, err = listen(ctx, n.settings.Node.Admin); err != nil {
 		return err
 	}
-	n.peerAt, err = listen(ctx, n.settings.Peers.Listen)
+	n.peerListener, err = listen(ctx, n.settings.Peers.Listen)
 	return err
 }
 
 func (n *Node) closeListeners() {
-	for _, l := range []net.Listener{n.callerAt, n.adminAt, n.peerAt} {
+	for _, l := range []net.Listener{n.callerListener, n.adminListener, n.peerListener} {
 		if l != nil {
 			_ = l.Close()
 		}
@@ -123,14 +123,14 @@
 func (n *Node) serve(handler http.Handler, l net.Listener) {
 	server := serve.New(handler, serve.Config{HeaderWait: headerTimeout, Errors: serverErrors(n.log)})
 	n.servers = append(n.servers, server)
-	n.work.Go(func() {
+	n.tasks.Go(func() {
 		if err := server.Serve(l); err != nil {
 			n.log.WithField("error", err).Error("server_failed")
 		}
 	})
 }
 
-// adminHandler serves operators, metrics and profiles.
+// adminHandler returns the handler for the operator API, metrics and profiles.
 func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	n.operator.Register(mux)
@@ -138,101 +138,101 @@
 	return mux
 }
 
-// URL returns the address that callers use.
-func (n *Node) URL() string { return "http://" + n.callerAt.Addr().String() }
+// URL returns the base URL of the caller API.
+func (n *Node) URL() string { return "http://" + n.callerListener.Addr().String() }
 
-// AdminURL returns the address of metrics and profiles.
-func (n *Node) AdminURL() string { return "http://" + n.adminAt.Addr().String() }
+// AdminURL returns the base URL of the operator API, metrics and profiles.
+func (n *Node) AdminURL() string { return "http://" + n.adminListener.Addr().String() }
 
-// VM returns the node's entry on the list of VMs.
+// VM returns the node's entry in the platform's list of VMs.
 func (n *Node) VM() store.VM {
 	return store.VM{
 		ID:         vaneyoke.VMID(n.settings.Node.VM),
 		DataCentre: vaneyoke.DataCentreID(n.settings.Node.DataCentre),
-		Address:    n.peerAt.Addr().String(),
+		Address:    n.peerListener.Addr().String(),
 	}
 }
 
-// ReadVMs reads the platform's list of VMs at once.
-func (n *Node) ReadVMs(ctx context.Context) { n.roster.readOrLog(ctx) }
+// ReadVMs reads the platform's list of VMs now, without waiting for the next poll.
+func (n *Node) ReadVMs(ctx context.Context) { n.vmList.refreshOrLog(ctx) }
 
-// Revision returns the revision in force at the node.
+// Revision returns the revision of the node's active configuration.
 func (n *Node) Revision() vaneyoke.Revision { return n.follower.Current().Revision }
 
-// TakesWork reports whether the node would send an upstream new work.
-func (n *Node) TakesWork(id vaneyoke.UpstreamID) bool { return n.policies.balancer.TakesWork(id) }
+// AcceptsWork reports whether the node would send new requests to an upstream.
+func (n *Node) AcceptsWork(id vaneyoke.UpstreamID) bool { return n.policies.balancer.TakesWork(id) }
 
-// Refresh reads the configuration at once.
+// Refresh reads the configuration now, without waiting for the next poll.
 func (n *Node) Refresh(ctx context.Context) { n.follower.Poll(ctx) }
 
-// Reload tells that a node with the caller API takes changed settings at its next start.
+// Reload logs that changed settings were ignored: a node with the caller API applies them only when it restarts.
 func (n *Node) Reload(settings.Settings) {
 	n.log.WithField("taken", false).Info("settings_reloaded")
 }
 
-// Stop refuses new requests, lets the open ones finish within the grace, and closes the node. Those that are left then get
-// a last answer; callers with a key go on at another node. It returns an error where there were such.
+// Stop refuses new requests, waits up to the grace for open requests to finish, and closes the node. Requests that are still open
+// then get a final answer, and callers with an idempotency key can resume at another node. It returns an error if there were any.
 func (n *Node) Stop(ctx context.Context) error {
-	now := time.Now()
+	stopping := time.Now()
 	n.stopping.Store(true)
 	for _, server := range n.servers {
 		server.Retire()
 	}
 	n.log.WithFields(logrus.Fields{"open": n.api.Open(), "grace": n.settings.Node.Grace}).Info("node_stopping")
-	ctx, cancel := context.WithDeadline(ctx, now.Add(n.settings.Node.Grace))
+	ctx, cancel := context.WithDeadline(ctx, stopping.Add(n.settings.Node.Grace))
 	defer cancel()
-	interrupted := n.finish(ctx, now)
-	n.wrapUp(ctx)
-	cut := logCutOff(n.log, n.callers(), now)
+	interrupted := n.drain(ctx, stopping)
+	n.shutDown(ctx)
+	cutOff := logCutOff(n.log, n.callers(), stopping)
 	n.Kill()
-	err := told(n.log, now, interrupted, cut)
+	err := logStopped(n.log, stopping, interrupted, cutOff)
 	return errors.Join(err, n.tracing.Close(context.WithoutCancel(ctx)))
 }
 
-// finish lets the callers' requests finish, but for a part of the grace, and then interrupts those that are left. It returns
-// how many they were.
-func (n *Node) finish(ctx context.Context, stopping time.Time) (interrupted int) {
+// drain waits for the callers' requests to finish, reserves the last part of the grace, and then interrupts the remaining
+// requests. It returns how many it interrupted.
+func (n *Node) drain(ctx context.Context, stopping time.Time) (interrupted int) {
 	grace := n.settings.Node.Grace
-	inTime, cancel := context.WithDeadline(ctx, stopping.Add(grace-min(leaveTimeout, grace/leaveShare)))
+	drainCtx, cancel := context.WithDeadline(ctx, stopping.Add(grace-min(leaveTimeout, grace/leaveGraceDivisor)))
 	defer cancel()
-	finished := n.callers().Settle(inTime) && waitForNone(inTime, n.api.Open)
+	drained := n.callers().Settle(drainCtx) && waitUntilZero(drainCtx, n.api.Open)
 	n.failover.Flush(ctx)
-	if finished {
+	if drained {
 		return 0
 	}
 	return n.failover.Release() + n.relay.Interrupt()
 }
 
-// wrapUp does what the node owes to others than its callers, and closes its servers. Callers are told that the node stops
-// until it has left the members, after which no other node sends any.
-func (n *Node) wrapUp(ctx context.Context) {
-	control, cancel := context.WithTimeout(ctx, controlWait)
+// shutDown saves pending answers, leaves the membership and closes the servers. The caller server stays open, and answers that the
+// node is stopping, until the node has left the membership; after that no other node sends callers to it.
+func (n *Node) shutDown(ctx context.Context) {
+	controlCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	together(
-		func() { n.keep(ctx) },
+	runConcurrently(
+		func() { n.waitAnswersSaved(ctx) },
 		func() { n.leave(ctx) },
-		func() { n.servers[adminServer].End(control) },
+		func() { n.servers[adminServer].End(controlCtx) },
 	)
-	together(
+	runConcurrently(
 		func() { n.callers().End(ctx) },
-		func() { n.servers[peerServer].End(control) },
+		func() { n.servers[peerServer].End(controlCtx) },
 	)
 }
 
-// together runs functions at once, and waits for all.
-func together(all ...func()) {
+// runConcurrently runs functions concurrently and waits for all of them.
+func runConcurrently(fs ...func()) {
 	var work sync.WaitGroup
-	for _, f := range all {
+	for _, f := range fs {
 		work.Go(f)
 	}
 	work.Wait()
 }
 
-// keep waits until the answers that callers have been given are kept for those who ask again.
-func (n *Node) keep(ctx context.Context) {
+// waitAnswersSaved waits until the delivered answers are stored for callers that repeat their request.
+func (n *Node) waitAnswersSaved(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	if !waitForNone(ctx, n.claims.Saving) {
+	if !waitUntilZero(ctx, n.claims.Saving) {
 		n.log.WithField("count", n.claims.Saving()).Warn("answers_not_kept")
 	}
 }
@@ -240,17 +240,18 @@
 // callers returns the server that callers use.
 func (n *Node) callers() *serve.Server { return n.servers[callerServer] }
 
-// waitForNone waits until no request is open, also of those that go on without their caller, and reports whether that came before ctx ended.
-func waitForNone(ctx context.Context, open func() int) bool {
-	for open() > 0 {
-		if !pause.For(ctx, drainPoll) {
+// waitUntilZero polls until count returns zero, and reports whether it did before ctx ended. The count of open requests includes
+// those that continue after their caller has disconnected.
+func waitUntilZero(ctx context.Context, count func() int) bool {
+	for count() > 0 {
+		if !pause.For(ctx, drainPollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// leave takes the node off the list of members; where that fails, the others do so when the VM is gone.
+// leave removes the node from the membership. If that fails, other nodes remove it once its VM is gone.
 func (n *Node) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -259,12 +260,12 @@
 	}
 }
 
-// Kill closes the node at once, as the death of its process would.
+// Kill closes the node immediately, as a crash of its process would.
 func (n *Node) Kill() {
 	n.stop()
 	n.relay.Close()
 	for _, server := range n.servers {
 		_ = server.Close()
 	}
-	n.work.Wait()
+	n.tasks.Wait()
 }
--- a/process/node/policies.go
+++ b/process/node/policies.go
@@ -12,10 +12,10 @@
 	"github.com/vaneyoke/vaneyoke/shell/catalog"
 )
 
-// drainPeriod is how often the policies are asked which upstreams are to be drained.
-const drainPeriod = time.Second
+// drainCheckInterval is the time between evaluations of which upstreams the policies drain.
+const drainCheckInterval = time.Second
 
-// policies holds the policies in force at the node.
+// policies holds the active policies of the node.
 type policies struct {
 	balancer *balancer.Balancer
 	log      logrus.FieldLogger
@@ -30,13 +30,13 @@
 
 func (p *policies) set() *policy.Set { return p.current.Load() }
 
-// apply puts a configuration in force.
+// apply activates a configuration.
 func (p *policies) apply(snapshot *catalog.Snapshot) {
 	var compiled []*policy.Policy
 	for _, row := range snapshot.Policies {
 		c, problems := policy.Compile([]byte(row.Text))
 		if len(problems) > 0 {
-			// Programs are checked before they are accepted, so that only an older node can come here.
+			// Policies are compiled before they are accepted, so this happens only on a node with an older build.
 			p.log.WithFields(logrus.Fields{"policy": row.Name, "problem": problems[0].String()}).Error("policy_not_understood")
 			continue
 		}
@@ -46,9 +46,9 @@
 	p.balancer.SetUpstreams(snapshot.Upstreams, p.set().Drained(time.Now()))
 }
 
-// run keeps the drains up to the time of day, until ctx ends.
+// run updates the drained upstreams, which depend on the time of day, until ctx ends.
 func (p *policies) run(ctx context.Context) {
-	ticker := time.NewTicker(drainPeriod)
+	ticker := time.NewTicker(drainCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/process/node/process.go
+++ b/process/node/process.go
@@ -9,34 +9,34 @@
 	"github.com/vaneyoke/vaneyoke/process/settings"
 )
 
-// Process is a node that serves callers.
+// Process is a node of either kind: with the caller API or for opaque requests.
 type Process interface {
-	// Start opens the node's addresses and begins to serve.
+	// Start opens the node's listeners and starts serving.
 	Start(ctx context.Context) error
-	// Reload takes in changed settings as far as they can change while the node runs.
+	// Reload applies those changed settings that can change while the node runs.
 	Reload(s settings.Settings)
-	// Stop lets the open requests finish within the grace, and closes the node.
+	// Stop waits up to the grace for open requests to finish, and closes the node.
 	Stop(ctx context.Context) error
 }
 
-// New puts together the node that the settings ask for: one that takes opaque requests, or one with the caller API.
-// lostLines tells how many lines of its log were lost.
-func New(s settings.Settings, log logrus.FieldLogger, lostLines func() int64) (Process, error) {
-	lost := expvar.Func(func() any { return lostLines() })
-	if s.Gateway.Serves() {
+// New assembles the kind of node that the settings select: one that serves opaque requests, or one with the caller API.
+// lostLineCount returns how many log lines were lost.
+func New(s settings.Settings, log logrus.FieldLogger, lostLineCount func() int64) (Process, error) {
+	lost := expvar.Func(func() any { return lostLineCount() })
+	if s.Gateway.ServesOpaque() {
 		n, err := BuildGateway(s, log)
 		if err != nil {
 			return nil, err
 		}
-		n.vars.Set(lostLinesVar, lost)
+		n.vars.Set(lostLinesMetric, lost)
 		return n, nil
 	}
 	n, err := Build(s, log)
 	if err != nil {
 		return nil, err
 	}
-	n.vars.Set(lostLinesVar, lost)
+	n.vars.Set(lostLinesMetric, lost)
 	return n, nil
 }
 
-const lostLinesVar = "log_lines_lost_total"
+const lostLinesMetric = "log_lines_lost_total"
--- a/process/node/pushbacks_wire.go
+++ b/process/node/pushbacks_wire.go
@@ -14,19 +14,19 @@
 	"github.com/vaneyoke/vaneyoke/wire/forward"
 )
 
-// signalListener gives each part of a node what upstreams say of themselves.
+// signalListener passes the signals of upstreams to the rate-limit and pushback components.
 type signalListener struct {
 	limits    *ratelimits.Node
 	pushbacks *pushbacks.Node
 }
 
-// Sending takes in that something goes to an upstream.
+// Sending records that a request is about to be sent to an upstream.
 func (l *signalListener) Sending(upstream vaneyoke.Upstream, kind forward.Kind) {
 	l.limits.RecordSent(upstream, kind)
 	l.pushbacks.RecordSent(time.Now(), upstream.ID, kind)
 }
 
-// Answered takes in what an upstream said of itself.
+// Answered records the signals in an upstream's answer.
 func (l *signalListener) Answered(upstream vaneyoke.Upstream, signals forward.Signals, sentAt time.Time) {
 	if signals.Limit != nil {
 		l.limits.RecordLimit(upstream, *signals.Limit, sentAt)
--- a/process/node/rollouts_wire.go
+++ b/process/node/rollouts_wire.go
@@ -18,13 +18,13 @@
 	"github.com/vaneyoke/vaneyoke/shell/watch"
 )
 
-// rolloutTables gives a node's part in roll-outs what the store holds of them; it may stand before that part does.
+// rolloutTables passes the rows of the store's tables to the rollouts component. It may be created before that component.
 type rolloutTables struct {
-	node *rollouts.Node // nil where there are no roll-outs
+	node *rollouts.Node // nil without rollouts
 	log  logrus.FieldLogger
 }
 
-// setOrders takes in the operator's table.
+// setOrders passes on the rollout orders in the operator's table.
 func (t *rolloutTables) setOrders(now time.Time, rows watch.Rows) {
 	if t.node == nil {
 		return
@@ -42,7 +42,7 @@
 	t.node.SetOrders(now, orders)
 }
 
-// setRecords takes in the records.
+// setRecords passes on the rollout records.
 func (t *rolloutTables) setRecords(now time.Time, rows watch.Rows) {
 	var records []rollout.Row
 	for key, row := range rows {
@@ -56,10 +56,10 @@
 	t.node.SetRecords(now, records)
 }
 
-// setUpstreams takes in the list of upstreams.
-func (t *rolloutTables) setUpstreams(now time.Time, all []vaneyoke.Upstream) {
+// setUpstreams passes on the list of upstreams.
+func (t *rolloutTables) setUpstreams(now time.Time, upstreams []vaneyoke.Upstream) {
 	if t.node != nil {
-		t.node.SetUpstreams(now, all)
+		t.node.SetUpstreams(now, upstreams)
 	}
 }
 
@@ -67,7 +67,7 @@
 	return &rolloutTables{log: do.MustInvoke[logrus.FieldLogger](i)}, nil
 }
 
-// provideRollouts returns the node's part in roll-outs, nil where the settings name no exposure.
+// provideRollouts returns the rollouts component, or nil if the exposure in the settings is 0.
 func provideRollouts(i do.Injector) (*rollouts.Node, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	if s.Rollout.Exposure == 0 {
@@ -87,7 +87,8 @@
 	return node, nil
 }
 
-// newReportClient returns the HTTP client for reports to the node above, which come several times a second.
+// newReportClient returns the HTTP client for reports to the parent node. It keeps connections open, because reports are sent
+// several times a second.
 func newReportClient() *http.Client {
 	client := newPeerClient()
 	client.Transport.(*http.Transport).DisableKeepAlives = false
--- a/process/node/stop.go
+++ b/process/node/stop.go
@@ -14,83 +14,86 @@
 )
 
 const (
-	// lastAnswers is how long answers that end because the node does may take on the way out.
-	lastAnswers = 150 * time.Millisecond
-	// interruptEach is how much earlier streams are interrupted for each that is left, so that calls which are answered just in time are not cut
-	// while streams still end: 120 took 35 to 130 ms on eight busy cores, and 100 to 230 ms beside 60 busy loops there, with the race detector.
-	interruptEach = 4 * time.Millisecond
-	interruptMost = 500 * time.Millisecond
+	// finalAnswerTimeout bounds the time for sending the final answers to interrupted requests.
+	finalAnswerTimeout = 150 * time.Millisecond
+	// interruptLeadPerStream is how much earlier streams are interrupted for each open stream, so that unary calls which are answered
+	// just before the deadline are not cut off while streams are being ended: with the race detector, ending 120 streams took 35 to
+	// 130 ms on eight busy cores, and 100 to 230 ms with 60 busy loops beside it.
+	interruptLeadPerStream = 4 * time.Millisecond
+	maxInterruptLead       = 500 * time.Millisecond
 )
 
-// finish lets the requests of a server finish until a time, and then gives those that are left a last answer. While any is
-// under way new ones are taken, too, since their callers may find no other node; the server's handler has to refuse those
-// whose answer may come too late. It returns how many requests it interrupted.
+// drainServer waits until a deadline for a server's requests to finish, and then ends the remaining ones with a final answer.
+// While any request is open it accepts new ones as well, because their callers may not find another node; the server's handler
+// must refuse those whose answer may come too late. It returns how many requests it interrupted.
 //
-// Streams go first, so that calls, which are due by then, and refusals do not wait behind many of them.
-func finish(ctx context.Context, server *serve.Server, r *relay.Relay, until time.Time) (interrupted int) {
-	inTime, cancel := context.WithDeadline(ctx, until)
+// Streams are interrupted first, so that unary calls, which are due by the deadline, and refusals do not queue behind many streams.
+func drainServer(ctx context.Context, server *serve.Server, r *relay.Relay, deadline time.Time) (interrupted int) {
+	deadlineCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if settleBefore(ctx, server, until.Add(-interruptMost)) && server.End(inTime) {
+	if settleBefore(ctx, server, deadline.Add(-maxInterruptLead)) && server.End(deadlineCtx) {
 		return 0
 	}
-	early := min(time.Duration(r.Streams())*interruptEach, interruptMost)
-	if settleBefore(ctx, server, until.Add(-early)) && server.End(inTime) {
+	lead := min(time.Duration(r.Streams())*interruptLeadPerStream, maxInterruptLead)
+	if settleBefore(ctx, server, deadline.Add(-lead)) && server.End(deadlineCtx) {
 		return 0
 	}
 	interrupted = r.InterruptStreams()
-	if server.Settle(inTime) && server.End(inTime) {
+	if server.Settle(deadlineCtx) && server.End(deadlineCtx) {
 		return interrupted
 	}
 	interrupted += r.Interrupt()
-	late, cancelLate := context.WithTimeout(ctx, lastAnswers) // from now, since the process may have been frozen meanwhile
-	defer cancelLate()
-	server.Settle(late) // callers that come meanwhile are told to come back, which a closed address cannot
-	server.End(late)
+	finalCtx, cancelFinal := context.WithTimeout(ctx, finalAnswerTimeout) // relative to now, because the process may have been suspended
+	defer cancelFinal()
+	server.Settle(finalCtx) // new callers are told to retry; a closed listener could not tell them
+	server.End(finalCtx)
 	return interrupted
 }
 
-// settleBefore waits until no request is under way, and reports whether that came before a time.
-func settleBefore(ctx context.Context, server *serve.Server, at time.Time) bool {
-	ctx, cancel := context.WithDeadline(ctx, at)
+// settleBefore waits until no request is open, and reports whether that happened before the deadline.
+func settleBefore(ctx context.Context, server *serve.Server, deadline time.Time) bool {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	return server.Settle(ctx)
 }
 
-// logCutOff tells of each connection that is in the middle of a request when its server is closed, and returns their number.
-func logCutOff(log logrus.FieldLogger, server *serve.Server, stopping time.Time) (cut int) {
+// logCutOff logs each connection that is in the middle of a request when its server is closed, and returns their number.
+func logCutOff(log logrus.FieldLogger, server *serve.Server, stopping time.Time) (cutOff int) {
 	now := time.Now()
 	for _, c := range server.Conns() {
 		if !c.Phase.Busy() {
 			continue
 		}
-		cut++
+		cutOff++
 		log.WithFields(logrus.Fields{
 			"request": c.Request, "phase": c.Phase, "age_ms": now.Sub(c.Since).Milliseconds(),
 			"opened_ms": now.Sub(c.Opened).Milliseconds(), "stopping_ms": now.Sub(stopping).Milliseconds(),
 		}).Warn("connection_cut_off")
 	}
-	return cut
+	return cutOff
 }
 
-// told tells how a node has ended, and returns an error where requests did not come to their own end.
-func told(log logrus.FieldLogger, stopping time.Time, interrupted, cut int) error {
+// logStopped logs how the node stopped, and returns an error if requests were interrupted or cut off.
+func logStopped(log logrus.FieldLogger, stopping time.Time, interrupted, cutOff int) error {
 	log.WithFields(logrus.Fields{
-		"interrupted": interrupted, "cut_off": cut, "ms": time.Since(stopping).Milliseconds(),
+		"interrupted": interrupted, "cut_off": cutOff, "ms": time.Since(stopping).Milliseconds(),
 	}).Info("node_stopped")
-	if interrupted+cut > 0 {
-		return vaneyoke.Err(vaneyoke.CodeInterrupted, "%d requests were interrupted and %d cut off at the end of the grace", interrupted, cut)
+	if interrupted+cutOff > 0 {
+		return vaneyoke.Err(vaneyoke.CodeInterrupted, "%d requests were interrupted and %d cut off at the end of the grace", interrupted, cutOff)
 	}
 	return nil
 }
 
-// serverErrors has what package http tells of a server, such as a handler's panic, logged as a line.
-func serverErrors(to logrus.FieldLogger) *log.Logger { return log.New(&errorLines{to: to}, "", 0) }
+// serverErrors returns a logger for the errors that package http reports, such as a handler's panic.
+func serverErrors(logger logrus.FieldLogger) *log.Logger {
+	return log.New(&errorLogger{logger: logger}, "", 0)
+}
 
-// errorLines logs each text that is written to it.
-type errorLines struct{ to logrus.FieldLogger }
+// errorLogger is an io.Writer that logs each text written to it as an event.
+type errorLogger struct{ logger logrus.FieldLogger }
 
-// Write logs a text as one line.
-func (l *errorLines) Write(text []byte) (int, error) {
-	l.to.WithField("error", strings.TrimSpace(string(text))).Error("server_error")
+// Write logs a text as one event.
+func (l *errorLogger) Write(text []byte) (int, error) {
+	l.logger.WithField("error", strings.TrimSpace(string(text))).Error("server_error")
 	return len(text), nil
 }
--- a/process/node/store_calls.go
+++ b/process/node/store_calls.go
@@ -6,14 +6,14 @@
 	"strconv"
 )
 
-// storeCalls counts the calls to the store by path and outcome: a status, or "failed" where no answer came.
-type storeCalls struct {
+// storeCallCounter is an http.RoundTripper that counts the calls to the store by path and outcome: the status, or "failed" without a response.
+type storeCallCounter struct {
 	next  http.RoundTripper
 	total *expvar.Map
 }
 
-// RoundTrip makes a call and counts it.
-func (c *storeCalls) RoundTrip(req *http.Request) (*http.Response, error) {
+// RoundTrip executes a call and counts it.
+func (c *storeCallCounter) RoundTrip(req *http.Request) (*http.Response, error) {
 	res, err := c.next.RoundTrip(req)
 	outcome := "failed"
 	if err == nil {
@@ -23,8 +23,8 @@
 	return res, err
 }
 
-// CloseIdleConnections closes the connections that carry no call, which the store may have forgotten.
-func (c *storeCalls) CloseIdleConnections() {
+// CloseIdleConnections closes idle connections, whose state the store may have lost.
+func (c *storeCallCounter) CloseIdleConnections() {
 	if closer, ok := c.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
--- a/process/node/store_calls_test.go
+++ b/process/node/store_calls_test.go
@@ -9,14 +9,14 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestStoreCalls(t *testing.T) {
+func TestStoreCallCounter(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/busy" {
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	}))
 	total := new(expvar.Map).Init()
-	client := &http.Client{Transport: &storeCalls{next: http.DefaultTransport, total: total}}
+	client := &http.Client{Transport: &storeCallCounter{next: http.DefaultTransport, total: total}}
 	get := func(path string) {
 		res, err := client.Get(server.URL + path)
 		if err == nil {
@@ -34,18 +34,18 @@
 	}
 }
 
-// TestStoreCallsPassesOnTheClosingOfConnections holds that a client can get rid of connections through the counter.
-func TestStoreCallsPassesOnTheClosingOfConnections(t *testing.T) {
-	next := &closing{}
-	client := &http.Client{Transport: &storeCalls{next: next, total: new(expvar.Map).Init()}}
+// TestStoreCallCounterClosesIdleConnections checks that the counter forwards CloseIdleConnections to the transport that it wraps.
+func TestStoreCallCounterClosesIdleConnections(t *testing.T) {
+	next := &idleCloser{}
+	client := &http.Client{Transport: &storeCallCounter{next: next, total: new(expvar.Map).Init()}}
 	client.CloseIdleConnections()
 	must.EqOp(t, 1, next.closed)
 }
 
-// closing counts how often its connections were closed.
-type closing struct {
+// idleCloser counts the calls of CloseIdleConnections.
+type idleCloser struct {
 	http.RoundTripper
 	closed int
 }
 
-func (c *closing) CloseIdleConnections() { c.closed++ }
+func (c *idleCloser) CloseIdleConnections() { c.closed++ }
--- a/process/node/suspend.go
+++ b/process/node/suspend.go
@@ -10,13 +10,13 @@
 	"github.com/vaneyoke/vaneyoke/shell/relay"
 )
 
-// suspendedEvery is the time between two looks whether the VM was suspended: half of what an upstream may be told too much of a
-// caller's time.
-const suspendedEvery = 250 * time.Millisecond
+// suspensionCheckInterval is the time between two checks whether the VM was suspended. It is half of the error that is allowed in
+// the remaining time of a caller as sent to an upstream.
+const suspensionCheckInterval = 250 * time.Millisecond
 
-// watchSuspensions has what the node's callers wait for count the time for which the VM was suspended.
+// watchSuspensions detects suspensions of the VM and has the relay count them against the deadlines of callers.
 func watchSuspensions(ctx context.Context, r *relay.Relay, log logrus.FieldLogger) {
-	steady.System().Watch(ctx, suspendedEvery, func(suspended time.Duration) {
+	steady.System().Watch(ctx, suspensionCheckInterval, func(suspended time.Duration) {
 		log.WithField("ms", suspended.Milliseconds()).Warn("vm_suspended")
 		r.Suspended(suspended)
 	})
--- a/process/node/upstream_metrics.go
+++ b/process/node/upstream_metrics.go
@@ -11,17 +11,17 @@
 	"github.com/vaneyoke/vaneyoke/decide/placement"
 )
 
-// upstreamCounts says what the node believes of a service's upstreams.
+// upstreamCounts counts a service's upstreams by their state as this node sees it.
 type upstreamCounts struct {
-	Live     int `json:"live"`      // that may be given new work
-	Leaving  int `json:"leaving"`   // that say that they are leaving, or are drained by a policy
-	Open     int `json:"open"`      // of the live ones, those that a circuit breaker keeps work from
-	Limited  int `json:"limited"`   // of the live ones, those that name how many requests they take
-	Held     int `json:"held"`      // of the live ones, those that asked for nothing for a while or said that they leave
-	InFlight int `json:"in_flight"` // attempts of this node on them
+	Live        int `json:"live"`      // that may get new requests
+	Leaving     int `json:"leaving"`   // that announced that they are leaving, or are drained by a policy
+	BreakerOpen int `json:"open"`      // live ones whose circuit breaker is open
+	Limited     int `json:"limited"`   // live ones that declare a rate limit
+	Held        int `json:"held"`      // live ones that get no requests after a pushback or a shutdown notice
+	InFlight    int `json:"in_flight"` // this node's open attempts
 }
 
-// countUpstreams counts what a node sees of its upstreams by service; engines of the caller API count under "".
+// countUpstreams counts upstreams by service and state; engines of the caller API count under "".
 func countUpstreams(loads []placement.Load) map[vaneyoke.ServiceID]upstreamCounts {
 	counts := map[vaneyoke.ServiceID]upstreamCounts{}
 	for _, l := range loads {
@@ -33,7 +33,7 @@
 		default:
 			c.Live++
 			if l.BreakerOpen {
-				c.Open++
+				c.BreakerOpen++
 			}
 			if l.Limited {
 				c.Limited++
@@ -47,29 +47,29 @@
 	return counts
 }
 
-// mostFailing is how many upstreams are told one by one, so that what is told does not grow with the fleet.
-const mostFailing = 8
+// maxFailingUpstreams limits how many upstreams are reported individually, so that the metric does not grow with the fleet.
+const maxFailingUpstreams = 8
 
-// failingUpstreams counts how this node's attempts ended at the upstreams whose fault that was most often.
+// failingUpstreams returns the outcomes of this node's attempts on the upstreams with the most failures.
 func failingUpstreams(loads []placement.Load) map[vaneyoke.UpstreamID]map[string]int {
 	failing := lo.Filter(loads, func(l placement.Load, _ int) bool { return l.Outcomes.Bad() > 0 })
 	slices.SortFunc(failing, func(a, b placement.Load) int {
 		return cmp.Or(cmp.Compare(b.Outcomes.Bad(), a.Outcomes.Bad()), cmp.Compare(a.Upstream.ID, b.Upstream.ID))
 	})
 	counts := map[vaneyoke.UpstreamID]map[string]int{}
-	for _, l := range failing[:min(len(failing), mostFailing)] {
-		ended := map[string]int{}
+	for _, l := range failing[:min(len(failing), maxFailingUpstreams)] {
+		outcomes := map[string]int{}
 		for outcome, n := range l.Outcomes {
 			if n > 0 {
-				ended[placement.Outcome(outcome).String()] = n
+				outcomes[placement.Outcome(outcome).String()] = n
 			}
 		}
-		counts[l.Upstream.ID] = ended
+		counts[l.Upstream.ID] = outcomes
 	}
 	return counts
 }
 
-// memoryBytes returns how much memory the process has from the system.
+// memoryBytes returns how much memory the process has obtained from the operating system.
 func memoryBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}}
 	metrics.Read(sample)
--- a/process/node/upstream_metrics_test.go
+++ b/process/node/upstream_metrics_test.go
@@ -23,12 +23,13 @@
 		load("shop", vaneyoke.StateLive, placement.Load{}),
 	})
 	must.Eq(t, map[vaneyoke.ServiceID]upstreamCounts{
-		"lm":   {Live: 2, Leaving: 2, Open: 1, Limited: 1, Held: 1, InFlight: 6},
+		"lm":   {Live: 2, Leaving: 2, BreakerOpen: 1, Limited: 1, Held: 1, InFlight: 6},
 		"shop": {Live: 1},
 	}, got)
 }
 
-// TestFailingUpstreams has twelve upstreams fail more and more often, and one never.
+// TestFailingUpstreams counts twelve upstreams with increasing numbers of failures and one without any; the metric lists only the
+// worst ones.
 func TestFailingUpstreams(t *testing.T) {
 	loads := []placement.Load{{Upstream: vaneyoke.Upstream{ID: "well"}, Outcomes: placement.Outcomes{placement.OutcomeDone: 100}}}
 	for i := range 12 {
@@ -38,10 +39,10 @@
 		})
 	}
 	got := failingUpstreams(loads)
-	must.MapLen(t, mostFailing, got)
+	must.MapLen(t, maxFailingUpstreams, got)
 	must.Eq(t, map[string]int{"done": 5, "lost": 11, "unreachable": 1}, got["i-11"])
 	must.MapNotContainsKey(t, got, "well")
 	must.MapNotContainsKey(t, got, "i-3")
 }
 
-func TestMemoryIsTold(t *testing.T) { must.Positive(t, memoryBytes()) }
+func TestMemoryBytes(t *testing.T) { must.Positive(t, memoryBytes()) }
--- a/process/node/wire.go
+++ b/process/node/wire.go
@@ -30,14 +30,14 @@
 )
 
 const (
-	dialTimeout     = 500 * time.Millisecond
-	idleTimeout     = 90 * time.Second
-	idleConnsEach   = 256
-	platformTimeout = 5 * time.Second
-	bufferBytes     = 8 << 10
+	dialTimeout         = 500 * time.Millisecond
+	idleTimeout         = 90 * time.Second
+	maxIdleConnsPerHost = 256
+	platformTimeout     = 5 * time.Second
+	bufferBytes         = 8 << 10
 )
 
-// Build puts a node's parts together from its settings; it is the only place that wires them.
+// Build assembles a node with the caller API from its settings.
 func Build(s settings.Settings, log logrus.FieldLogger) (*Node, error) {
 	i := do.New()
 	do.ProvideValue(i, s)
@@ -55,7 +55,7 @@
 	do.Provide(i, providePeers)
 	do.Provide(i, providePolicies)
 	do.Provide(i, provideFollower)
-	do.Provide(i, provideRoster)
+	do.Provide(i, provideVMList)
 	do.Provide(i, provideJournals)
 	do.Provide(i, provideRelay)
 	do.Provide(i, provideClaims)
@@ -74,7 +74,7 @@
 	return newPlatform(do.MustInvoke[settings.Settings](i).Platform, do.MustInvoke[*controlClient](i).http), nil
 }
 
-// NewPlatform returns a client of the platform that the settings name.
+// NewPlatform returns a client for the platform that the settings name.
 func NewPlatform(s settings.Platform) *aws.Client {
 	return newPlatform(s, &http.Client{Timeout: platformTimeout})
 }
@@ -100,15 +100,15 @@
 func provideFollower(i do.Injector) (*catalog.Follower, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	self := catalog.Node{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre)}
-	r := do.MustInvoke[*roster](i)
-	r.follow(catalog.NewFollower(
-		self, do.MustInvoke[*aws.Client](i), r, s.Platform.Poll, s.Platform.Fresh,
+	vms := do.MustInvoke[*vmList](i)
+	vms.setFollower(catalog.NewFollower(
+		self, do.MustInvoke[*aws.Client](i), vms, s.Platform.Poll, s.Platform.Fresh,
 		do.MustInvoke[logrus.FieldLogger](i), do.MustInvoke[*policies](i).apply,
 	))
 	vars := do.MustInvoke[*expvar.Map](i)
-	vars.Set("policy_revision", expvar.Func(func() any { return r.follower.Current().Revision }))
-	vars.Set("fresh", expvar.Func(func() any { return r.follower.Fresh(steady.Now()) }))
-	return r.follower, nil
+	vars.Set("policy_revision", expvar.Func(func() any { return vms.follower.Current().Revision }))
+	vars.Set("fresh", expvar.Func(func() any { return vms.follower.Fresh(steady.Now()) }))
+	return vms.follower, nil
 }
 
 func providePolicies(i do.Injector) (*policies, error) {
@@ -121,7 +121,7 @@
 	s, vars, log := do.MustInvoke[settings.Settings](i), do.MustInvoke[*expvar.Map](i), do.MustInvoke[logrus.FieldLogger](i)
 	crashes := quarantines.NewStandalone(quarantineConfig(s.Recovery), quarantines.NewMetrics(vars), log)
 	r := relay.New(
-		engine.New(newUpstreamClient(), newOnceClient()),
+		engine.New(newUpstreamClient(), newSingleUseClient()),
 		nil,
 		callerPlacer{Balancer: do.MustInvoke[*balancer.Balancer](i), crashGuard: crashGuard{crashes}},
 		do.MustInvoke[*telemetry.Tracing](i).Tracer,
@@ -152,8 +152,8 @@
 	), nil
 }
 
-func provideRoster(i do.Injector) (*roster, error) {
-	return newRoster(
+func provideVMList(i do.Injector) (*vmList, error) {
+	return newVMList(
 		do.MustInvoke[*aws.Client](i),
 		do.MustInvoke[*peer.Client](i),
 		do.MustInvoke[*balancer.Balancer](i),
@@ -170,7 +170,7 @@
 
 func provideJournals(i do.Injector) (*peer.Journals, error) {
 	s := do.MustInvoke[settings.Settings](i).Peers
-	journals := peer.NewJournals(journal.New(journal.Config{MaxBytes: s.Bytes, Retention: s.Retention}))
+	journals := peer.NewJournals(journal.New(journal.Config{MaxBytes: s.JournalBytes, Retention: s.Retention}))
 	vars := do.MustInvoke[*expvar.Map](i)
 	vars.Set("journal_bytes", expvar.Func(func() any { return journals.Bytes() }))
 	vars.Set("journals", expvar.Func(func() any { return journals.Len() }))
@@ -194,7 +194,7 @@
 		failoverConfig(s.Peers),
 		cursor.NewKeyring(keys...),
 		do.MustInvoke[*peer.Client](i),
-		do.MustInvoke[*roster](i),
+		do.MustInvoke[*vmList](i),
 		do.MustInvoke[*relay.Relay](i),
 		do.MustInvoke[*claims.Claims](i),
 		failover.NewMetrics(do.MustInvoke[*expvar.Map](i)),
@@ -211,7 +211,7 @@
 		api:      do.MustInvoke[*callerapi.API](i),
 		follower: follower,
 		policies: do.MustInvoke[*policies](i),
-		roster:   do.MustInvoke[*roster](i),
+		vmList:   do.MustInvoke[*vmList](i),
 		relay:    do.MustInvoke[*relay.Relay](i),
 		control:  do.MustInvoke[*controlClient](i),
 		failover: manager,
@@ -225,18 +225,18 @@
 	}, nil
 }
 
-// newOnceClient returns an HTTP client that opens a connection for each request.
-func newOnceClient() *http.Client {
+// newSingleUseClient returns an HTTP client that opens a new connection for each request.
+func newSingleUseClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}}
 }
 
-// newUpstreamClient returns an HTTP client that neither retries nor times out a running stream.
+// newUpstreamClient returns an HTTP client without a timeout for running streams and without retries.
 func newUpstreamClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConnsEach,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 		ReadBufferSize:      bufferBytes,
--- a/process/settings/doc.go
+++ b/process/settings/doc.go
@@ -1,2 +1,2 @@
-// Package settings reads and checks a node's INI file.
+// Package settings reads and validates a node's INI file.
 package settings
--- a/process/settings/load.go
+++ b/process/settings/load.go
@@ -9,7 +9,7 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Load reads and checks a file; an error names the file, the key and the reason.
+// Load reads and validates a file; an error names the file, the key and the reason.
 func Load(path string) (Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, path)
 	if err != nil {
@@ -18,7 +18,7 @@
 	return read(file, path)
 }
 
-// Parse reads and checks the text of a file; name stands for its path in errors.
+// Parse reads and validates the text of a file; errors give name as its path.
 func Parse(text []byte, name string) (Settings, error) {
 	file, err := ini.Load(text)
 	if err != nil {
@@ -29,28 +29,28 @@
 
 func read(file *ini.File, name string) (Settings, error) {
 	var s Settings
-	if err := checkNames(file, name); err != nil {
+	if err := checkUnknownKeys(file, name); err != nil {
 		return Settings{}, err
 	}
 	root := reflect.ValueOf(&s).Elem()
 	for i := range root.NumField() {
 		tag := root.Type().Field(i).Tag
 		section := tag.Get("ini")
-		if tag.Get("only") != "" && s.Gateway.Serves() && !file.HasSection(section) {
+		if tag.Get("only") != "" && s.Gateway.ServesOpaque() && !file.HasSection(section) {
 			continue
 		}
 		if err := readSection(file.Section(section), root.Field(i), name); err != nil {
 			return Settings{}, err
 		}
 	}
-	return s, s.check(name)
+	return s, s.checkRequired(name)
 }
 
-// check looks for settings that must go together.
-func (s *Settings) check(name string) error {
+// checkRequired checks that a node for opaque requests has all the addresses that it needs.
+func (s *Settings) checkRequired(name string) error {
 	g := s.Gateway
 	for key, address := range map[string]string{"readiness": g.Readiness, "store": g.Store} {
-		if g.Serves() && address == "" {
+		if g.ServesOpaque() && address == "" {
 			return vaneyoke.Err(vaneyoke.CodeSettingsKey, "%s: [gateway] %s: is missing", name, key)
 		}
 	}
@@ -65,22 +65,22 @@
 		if section.HasKey(key) {
 			text = section.Key(key).String()
 		}
-		if err := set(fields.Field(i), field.Tag, text); err != nil {
-			return vaneyoke.Err(codeOf(text), "%s: [%s] %s: %s", name, section.Name(), key, err)
+		if err := setField(fields.Field(i), field.Tag, text); err != nil {
+			return vaneyoke.Err(errorCode(text), "%s: [%s] %s: %s", name, section.Name(), key, err)
 		}
 	}
 	return nil
 }
 
-func codeOf(text string) vaneyoke.Code {
+func errorCode(text string) vaneyoke.Code {
 	if text == "" {
 		return vaneyoke.CodeSettingsKey
 	}
 	return vaneyoke.CodeSettingsValue
 }
 
-// checkNames looks for sections and keys that do not exist.
-func checkNames(file *ini.File, name string) error {
+// checkUnknownKeys returns an error for a section or key that does not exist.
+func checkUnknownKeys(file *ini.File, name string) error {
 	known := keysBySection()
 	for _, section := range file.Sections() {
 		keys, ok := known[section.Name()]
--- a/process/settings/markdown.go
+++ b/process/settings/markdown.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-const head = `# Settings
+const pageHeader = `# Settings
 
 A node reads one INI file, ` + "`vaneyoked --config node.ini`" + `. Each key is checked at the start; an unknown key, a bad
 value or a missing file ends the start with one line that names file, key and reason, and the exit status is the result
 code. ` + "`vaneyoked --config node.ini --check`" + ` only checks. This page is written from the code.
 `
 
-// Markdown returns docs/SETTINGS.md.
+// Markdown returns the content of docs/SETTINGS.md.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString(head)
+	b.WriteString(pageHeader)
 	for section := range reflect.TypeFor[Settings]().Fields() {
 		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n", section.Tag.Get("ini"), section.Tag.Get("doc"))
 		b.WriteString("| key | default | bounds | meaning |\n| --- | --- | --- | --- |\n")
@@ -40,11 +40,11 @@
 
 func boundsOf(tag reflect.StructTag) string {
 	var parts []string
-	if least := tag.Get("min"); least != "" {
-		parts = append(parts, "≥ "+least)
+	if minimum := tag.Get("min"); minimum != "" {
+		parts = append(parts, "≥ "+minimum)
 	}
-	if most := tag.Get("max"); most != "" {
-		parts = append(parts, "≤ "+most)
+	if maximum := tag.Get("max"); maximum != "" {
+		parts = append(parts, "≤ "+maximum)
 	}
 	return strings.Join(parts, ", ")
 }
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Settings is a node's whole configuration; docs/SETTINGS.md is written from its tags.
+// Settings is the configuration file of a node; docs/SETTINGS.md is generated from its tags.
 type Settings struct {
 	Node     Node     `ini:"node" doc:"Who and where the node is."`
 	Gateway  Gateway  `ini:"gateway" doc:"How opaque requests are taken; a node with a listening address here serves them in place of the caller API, and needs neither [platform] nor [peers]."`
@@ -21,7 +21,7 @@
 	Trace    Trace    `ini:"trace" doc:"Traces."`
 }
 
-// Node says who and where the node is.
+// Node identifies the node and its addresses.
 type Node struct {
 	VM         string        `ini:"vm" check:"required" doc:"Name of the VM on the platform's list of VMs."`
 	DataCentre string        `ini:"data_centre" check:"required" doc:"Data centre that the VM stands in."`
@@ -31,28 +31,28 @@
 	Grace      time.Duration `ini:"grace" default:"15m" min:"1s" doc:"Longest time that a stopping node lets its requests finish."`
 }
 
-// Gateway says how opaque requests are taken.
+// Gateway configures the serving of opaque requests.
 type Gateway struct {
-	Listen        string        `ini:"listen" check:"optional_address" doc:"IP number and port for callers of opaque requests; none where it is empty."`
-	Readiness     string        `ini:"readiness" check:"optional_address" doc:"IP number and port at which the node tells whether it takes new connections."`
-	Store         string        `ini:"store" check:"optional_address" doc:"IP number and port of the store that holds the routes and the list of upstreams; must be set where listen is."`
-	Peers         string        `ini:"peers" check:"optional_address" doc:"IP number and port at which the node tells other nodes what the store holds; without one, it reads the store itself."`
-	FirstStart    bool          `ini:"first_start" default:"false" doc:"Whether the whole system starts for the first time: the node then registers itself before it reads which others there are, which spares the store two calls of each node."`
-	MaxWait       time.Duration `ini:"max_wait" default:"60s" min:"10ms" doc:"Longest time for an answer where neither the route nor the caller names one."`
-	HeaderWait    time.Duration `ini:"header_wait" default:"10s" min:"100ms" doc:"Longest time that a caller may take to send a request's header."`
-	IdleWait      time.Duration `ini:"idle_wait" default:"60s" min:"1s" doc:"How long a connection without a request is kept."`
-	HeaderBytes   int           `ini:"header_bytes" default:"65536" min:"1024" doc:"Largest header of a request in bytes."`
-	DialWait      time.Duration `ini:"dial_wait" default:"120ms" min:"1ms" doc:"Longest wait for a connection to an upstream."`
-	FeedWait      time.Duration `ini:"feed_wait" default:"3s" min:"100ms" max:"30s" doc:"How long one call to the store waits for changes, by a node that has no others to ask."`
-	BackWithin    time.Duration `ini:"back_within" default:"3s" min:"500ms" doc:"Time after an outage of the store, or of the way to it, within which the node goes by what the store then holds; it bounds how long one call to the store may hang."`
-	LapseGrace    time.Duration `ini:"lapse_grace" default:"1600ms" min:"0s" max:"10s" doc:"How long upstreams that are missing when the store comes back after an outage are still used; four fifths of drain_within at the longest."`
-	DrainWithin   time.Duration `ini:"drain_within" default:"2s" min:"100ms" doc:"Time within which an upstream that is leaving gets no more work."`
-	InForceWithin time.Duration `ini:"in_force_within" default:"3s" min:"500ms" doc:"Time within which a change of the configuration is in force; in a large fleet it bounds how old the tables of a node may be that others rely on."`
-	Lame          time.Duration `ini:"lame" default:"3s" min:"0s" doc:"How long a stopping node takes requests at the least, while it says that it is not ready; after that it ends as soon as none is under way."`
-	LameStreams   time.Duration `ini:"lame_streams" default:"2500ms" min:"0s" doc:"How long a stopping node still takes calls, and streams that can go on at another node, whose answer may last longer than the node; a third of the grace at the longest."`
+	Listen          string        `ini:"listen" check:"optional_address" doc:"IP number and port for callers of opaque requests; none where it is empty."`
+	Readiness       string        `ini:"readiness" check:"optional_address" doc:"IP number and port at which the node tells whether it takes new connections."`
+	Store           string        `ini:"store" check:"optional_address" doc:"IP number and port of the store that holds the routes and the list of upstreams; must be set where listen is."`
+	Peers           string        `ini:"peers" check:"optional_address" doc:"IP number and port at which the node tells other nodes what the store holds; without one, it reads the store itself."`
+	FirstStart      bool          `ini:"first_start" default:"false" doc:"Whether the whole system starts for the first time: the node then registers itself before it reads which others there are, which spares the store two calls of each node."`
+	MaxWait         time.Duration `ini:"max_wait" default:"60s" min:"10ms" doc:"Longest time for an answer where neither the route nor the caller names one."`
+	HeaderWait      time.Duration `ini:"header_wait" default:"10s" min:"100ms" doc:"Longest time that a caller may take to send a request's header."`
+	IdleWait        time.Duration `ini:"idle_wait" default:"60s" min:"1s" doc:"How long a connection without a request is kept."`
+	HeaderBytes     int           `ini:"header_bytes" default:"65536" min:"1024" doc:"Largest header of a request in bytes."`
+	DialWait        time.Duration `ini:"dial_wait" default:"120ms" min:"1ms" doc:"Longest wait for a connection to an upstream."`
+	PollWait        time.Duration `ini:"feed_wait" default:"3s" min:"100ms" max:"30s" doc:"How long one call to the store waits for changes, by a node that has no others to ask."`
+	RecoverWithin   time.Duration `ini:"back_within" default:"3s" min:"500ms" doc:"Time after an outage of the store, or of the way to it, within which the node goes by what the store then holds; it bounds how long one call to the store may hang."`
+	RemovalGrace    time.Duration `ini:"lapse_grace" default:"1600ms" min:"0s" max:"10s" doc:"How long upstreams that are missing when the store comes back after an outage are still used; four fifths of drain_within at the longest."`
+	DrainWithin     time.Duration `ini:"drain_within" default:"2s" min:"100ms" doc:"Time within which an upstream that is leaving gets no more work."`
+	InForceWithin   time.Duration `ini:"in_force_within" default:"3s" min:"500ms" doc:"Time within which a change of the configuration is in force; in a large fleet it bounds how old the tables of a node may be that others rely on."`
+	LameDuck        time.Duration `ini:"lame" default:"3s" min:"0s" doc:"How long a stopping node takes requests at the least, while it says that it is not ready; after that it ends as soon as none is under way."`
+	LameDuckStreams time.Duration `ini:"lame_streams" default:"2500ms" min:"0s" doc:"How long a stopping node still takes calls, and streams that can go on at another node, whose answer may last longer than the node; a third of the grace at the longest."`
 }
 
-// Platform says where the platform's service is.
+// Platform holds the addresses and credentials of the platform's services.
 type Platform struct {
 	TableURL  string        `ini:"table_url" check:"url" doc:"Address of the transactional table (DynamoDB's protocol)."`
 	ObjectURL string        `ini:"object_url" check:"url" doc:"Address of the object store (S3's protocol)."`
@@ -66,20 +66,20 @@
 	Fresh     time.Duration `ini:"fresh" default:"2s" min:"500ms" max:"3s" doc:"How long a confirmation of the configuration counts, by the store or by a majority of the nodes; changes are in force everywhere within this time."`
 }
 
-// Peers says how the nodes of a fleet back one another up.
+// Peers configures the failover between the nodes of a fleet.
 type Peers struct {
-	Listen      string        `ini:"listen" default:"127.0.0.1:8082" check:"address" doc:"IP number and port for other nodes; the platform's list of VMs has to name it."`
-	Keys        string        `ini:"keys" check:"keys" secret:"true" doc:"Keys that nodes show one another and sign cursors with, parted by commas; the first is used, and all are taken, so that they can be rolled."`
-	PushPeriod  time.Duration `ini:"push_period" default:"250ms" min:"1ms" doc:"Time between pushes of journals to their backups."`
-	AckWait     time.Duration `ini:"ack_wait" default:"250ms" min:"1ms" doc:"Longest wait for a backup before another is tried."`
-	CallTimeout time.Duration `ini:"call_timeout" default:"300ms" min:"1ms" doc:"Longest wait for another node's answer."`
-	Linger      time.Duration `ini:"linger" default:"30s" min:"0s" doc:"How long a request whose caller may come back runs on after the caller has gone."`
-	Retention   time.Duration `ini:"retention" default:"10m" min:"1s" doc:"How long a finished answer is kept for a repeat of its request."`
-	Bytes       int           `ini:"bytes" default:"67108864" min:"1048576" doc:"Estimated memory in bytes of the journals kept for other nodes."`
-	TailTokens  int           `ini:"tail_tokens" default:"32" min:"1" max:"500" doc:"Most tokens that an event id carries because the backup has not confirmed them."`
+	Listen       string        `ini:"listen" default:"127.0.0.1:8082" check:"address" doc:"IP number and port for other nodes; the platform's list of VMs has to name it."`
+	Keys         string        `ini:"keys" check:"keys" secret:"true" doc:"Keys that nodes show one another and sign cursors with, parted by commas; the first is used, and all are taken, so that they can be rolled."`
+	PushPeriod   time.Duration `ini:"push_period" default:"250ms" min:"1ms" doc:"Time between pushes of journals to their backups."`
+	AckWait      time.Duration `ini:"ack_wait" default:"250ms" min:"1ms" doc:"Longest wait for a backup before another is tried."`
+	CallTimeout  time.Duration `ini:"call_timeout" default:"300ms" min:"1ms" doc:"Longest wait for another node's answer."`
+	Linger       time.Duration `ini:"linger" default:"30s" min:"0s" doc:"How long a request whose caller may come back runs on after the caller has gone."`
+	Retention    time.Duration `ini:"retention" default:"10m" min:"1s" doc:"How long a finished answer is kept for a repeat of its request."`
+	JournalBytes int           `ini:"bytes" default:"67108864" min:"1048576" doc:"Estimated memory in bytes of the journals kept for other nodes."`
+	TailTokens   int           `ini:"tail_tokens" default:"32" min:"1" max:"500" doc:"Most tokens that an event id carries because the backup has not confirmed them."`
 }
 
-// Claims says how requests that may run at most once are claimed.
+// Claims configures the claims of requests that may run at most once.
 type Claims struct {
 	Window      time.Duration `ini:"window" default:"3ms" min:"0s" max:"1s" doc:"Time for which writes are gathered into one transaction."`
 	Wait        time.Duration `ini:"wait" default:"2s" min:"10ms" doc:"Longest wait for a claim to stand before the request is refused."`
@@ -87,16 +87,16 @@
 	SettleEvery time.Duration `ini:"settle_every" default:"1s" min:"10ms" doc:"Pause between tries to revoke a claim whose write has an unknown outcome."`
 }
 
-// Limits bounds what callers may ask for.
+// Limits bounds the requests of callers.
 type Limits struct {
 	BodyBytes    int64         `ini:"body_bytes" default:"4194304" min:"1024" doc:"Largest request body in bytes."`
 	MaxWait      time.Duration `ini:"max_wait" default:"30s" min:"10ms" doc:"Longest time without progress before a request is given up."`
 	WriteTimeout time.Duration `ini:"write_timeout" default:"30s" min:"100ms" doc:"Longest time that a caller may take to read a piece of its answer."`
 	CallSilence  time.Duration `ini:"call_silence" default:"5s" min:"10ms" doc:"Silence of a service that makes a call suspect."`
-	WholeLimit   time.Duration `ini:"whole_limit" default:"10m" min:"1s" doc:"Longest time that an engine may take for an answer that is not streamed."`
+	UnaryTimeout time.Duration `ini:"whole_limit" default:"10m" min:"1s" doc:"Longest time that an engine may take for an answer that is not streamed."`
 }
 
-// Recovery says when an attempt is taken for lost.
+// Recovery configures when an attempt counts as lost, and how often a request may lose attempts.
 type Recovery struct {
 	FirstToken time.Duration `ini:"first_token" default:"3s" min:"10ms" doc:"Silence before the first token that makes an attempt suspect."`
 	Floor      time.Duration `ini:"floor" default:"300ms" min:"10ms" doc:"Shortest silence between tokens that makes an attempt suspect."`
@@ -108,7 +108,7 @@
 	MaxLosses  int           `ini:"max_losses" default:"8" min:"1" doc:"Losses in a row without a token between them before a request is given up."`
 }
 
-// Retry bounds the retries of the node.
+// Retry configures the retry budget and the circuit breakers.
 type Retry struct {
 	Ratio       float64       `ini:"ratio" default:"0.2" min:"0" doc:"Retries allowed for each admitted request."`
 	PerSecond   float64       `ini:"per_second" default:"10" min:"0" doc:"Retries allowed each second whatever the traffic."`
@@ -121,37 +121,37 @@
 	OpenMax     time.Duration `ini:"open_max" default:"15s" min:"10ms" doc:"Longest pause before an open breaker lets a trial through."`
 }
 
-// Rollout says how the work of a service moves to another version of its upstreams.
+// Rollout configures the rollout of new versions of a service's upstreams.
 type Rollout struct {
 	Exposure float64       `ini:"exposure" default:"0" min:"0" max:"1" doc:"Share of a service's requests that a version which is not judged good may get, from all nodes together; where it is 0, orders for roll-outs are not followed."`
 	Hold     time.Duration `ini:"hold" default:"2s" min:"0s" max:"1m" doc:"How long a version that is new to a service gets nothing while others are there, because the order for it may not be known yet."`
 }
 
-// Duties says what one node at a time does at the platform.
+// Duties configures the duties: tasks at the platform that one node at a time performs under a lease.
 type Duties struct {
-	Platform string        `ini:"platform" check:"optional_address" doc:"IP number and port that takes the calls of duties; where it is empty, no node has any."`
-	Lease    time.Duration `ini:"lease" default:"3s" min:"500ms" max:"1m" doc:"Time within which the platform counts two holders of a duty as rivals; a lease lasts as long."`
-	Fencing  bool          `ini:"fencing" default:"false" doc:"Whether the platform refuses calls with a lower token than it has seen; where it does not, a new holder waits for a lease's time, unless the one before gave the lease up with nothing under way."`
-	Window   time.Duration `ini:"window" default:"0s" min:"0s" max:"1h" doc:"Length of the windows of the wall clock that usage is reported for; where it is 0, usage is not reported."`
-	Late     time.Duration `ini:"late" default:"10s" min:"1s" max:"1h" doc:"Time after a window's end within which its usage is to be reported; at half of it the counts are fixed."`
+	Platform       string        `ini:"platform" check:"optional_address" doc:"IP number and port that takes the calls of duties; where it is empty, no node has any."`
+	Lease          time.Duration `ini:"lease" default:"3s" min:"500ms" max:"1m" doc:"Time within which the platform counts two holders of a duty as rivals; a lease lasts as long."`
+	Fencing        bool          `ini:"fencing" default:"false" doc:"Whether the platform refuses calls with a lower token than it has seen; where it does not, a new holder waits for a lease's time, unless the one before gave the lease up with nothing under way."`
+	Window         time.Duration `ini:"window" default:"0s" min:"0s" max:"1h" doc:"Length of the windows of the wall clock that usage is reported for; where it is 0, usage is not reported."`
+	ReportDeadline time.Duration `ini:"late" default:"10s" min:"1s" max:"1h" doc:"Time after a window's end within which its usage is to be reported; at half of it the counts are fixed."`
 }
 
-// Log says what is logged.
+// Log configures what is logged.
 type Log struct {
-	PlainEvery int    `ini:"plain_every" default:"1" min:"1" doc:"Of so many requests that went well at the first attempt and in time, one is logged; all others always are."`
-	Level      string `ini:"level" default:"info" check:"level" doc:"Least severe level that is logged: debug, info, warning or error."`
+	UneventfulLogEvery int    `ini:"plain_every" default:"1" min:"1" doc:"Of so many requests that went well at the first attempt and in time, one is logged; all others always are."`
+	Level              string `ini:"level" default:"info" check:"level" doc:"Least severe level that is logged: debug, info, warning or error."`
 }
 
-// Trace says where traces go.
+// Trace configures the output and sampling of traces.
 type Trace struct {
 	Output string  `ini:"output" default:"off" doc:"off, stdout, or the path of a file that spans are appended to."`
 	Ratio  float64 `ini:"ratio" default:"1" min:"0" max:"1" doc:"Share of requests that are traced where the caller does not say."`
 }
 
-// Serves reports whether the node takes opaque requests.
-func (g Gateway) Serves() bool { return g.Listen != "" }
+// ServesOpaque reports whether the node serves opaque requests.
+func (g Gateway) ServesOpaque() bool { return g.Listen != "" }
 
-// KeyList returns the peers' keys, the one in use first.
+// KeyList returns the keys shared by the nodes, the one in use first.
 func (p Peers) KeyList() []string {
 	var keys []string
 	for key := range strings.SplitSeq(p.Keys, ",") {
--- a/process/settings/settings_test.go
+++ b/process/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/vaneyoke/vaneyoke/process/settings"
 )
 
-const good = `
+const validSettings = `
 [node]
 vm = vm-1
 data_centre = hall-a
@@ -25,7 +25,7 @@
 vms_url = http://127.0.0.1:3/vms
 `
 
-const gateway = "[node]\nvm = vm-1\ndata_centre = hall-a\n[gateway]\nlisten = 127.0.0.1:1\n"
+const gatewaySettings = "[node]\nvm = vm-1\ndata_centre = hall-a\n[gateway]\nlisten = 127.0.0.1:1\n"
 
 func TestParse(t *testing.T) {
 	cases := map[string]struct {
@@ -33,23 +33,23 @@
 		code vaneyoke.Code
 		want string // part of the error
 	}{
-		"good":                 {good, vaneyoke.CodeOK, ""},
-		"unknown key":          {good + "[limits]\nbody = 1", vaneyoke.CodeSettingsKey, "node.ini: [limits] body: unknown key; known are"},
-		"unknown section":      {good + "[limit]\nbody = 1", vaneyoke.CodeSettingsKey, "[limit]: unknown section"},
-		"stray key":            {"grace = 1s\n" + good, vaneyoke.CodeSettingsKey, "unknown section"},
-		"missing":              {strings.Replace(good, "vm = vm-1", "", 1), vaneyoke.CodeSettingsKey, "[node] vm: is missing"},
-		"no keys":              {strings.Replace(good, "new,old", ",", 1), vaneyoke.CodeSettingsValue, "[peers] keys: is missing"},
-		"no duration":          {good + "[limits]\nmax_wait = 3", vaneyoke.CodeSettingsValue, "[limits] max_wait: must be a duration"},
-		"too small":            {good + "[recovery]\nfloor = 1ms", vaneyoke.CodeSettingsValue, "[recovery] floor: must be at least 10ms, got 1ms"},
-		"too large":            {good + "[trace]\nratio = 1.5", vaneyoke.CodeSettingsValue, "[trace] ratio: must be at most 1, got 1.5"},
-		"no address":           {strings.Replace(good, "hall-a", "hall-a\nlisten = localhost:80", 1), vaneyoke.CodeSettingsValue, "must be an IP number and a port"},
-		"no url":               {strings.Replace(good, "http://127.0.0.1:2", "ftp://x", 1), vaneyoke.CodeSettingsValue, "must be an http or https address"},
-		"no level":             {good + "[log]\nlevel = loud", vaneyoke.CodeSettingsValue, "must be one of"},
-		"gateway, no store":    {gateway + "readiness = 127.0.0.1:2\n", vaneyoke.CodeSettingsKey, "[gateway] store: is missing"},
-		"gateway, no probe":    {gateway + "store = 127.0.0.1:2\n", vaneyoke.CodeSettingsKey, "[gateway] readiness: is missing"},
-		"gateway, bad address": {gateway + "store = store:2\n", vaneyoke.CodeSettingsValue, "[gateway] store: must be an IP number"},
-		"gateway, bad section": {gateway + "store = 127.0.0.1:3\nreadiness = 127.0.0.1:2\n[peers]\nlisten = x\n", vaneyoke.CodeSettingsValue, "[peers] listen"},
-		"gateway":              {gateway + "store = 127.0.0.1:3\nreadiness = 127.0.0.1:2\n", vaneyoke.CodeOK, ""},
+		"good":                 {validSettings, vaneyoke.CodeOK, ""},
+		"unknown key":          {validSettings + "[limits]\nbody = 1", vaneyoke.CodeSettingsKey, "node.ini: [limits] body: unknown key; known are"},
+		"unknown section":      {validSettings + "[limit]\nbody = 1", vaneyoke.CodeSettingsKey, "[limit]: unknown section"},
+		"stray key":            {"grace = 1s\n" + validSettings, vaneyoke.CodeSettingsKey, "unknown section"},
+		"missing":              {strings.Replace(validSettings, "vm = vm-1", "", 1), vaneyoke.CodeSettingsKey, "[node] vm: is missing"},
+		"no keys":              {strings.Replace(validSettings, "new,old", ",", 1), vaneyoke.CodeSettingsValue, "[peers] keys: is missing"},
+		"no duration":          {validSettings + "[limits]\nmax_wait = 3", vaneyoke.CodeSettingsValue, "[limits] max_wait: must be a duration"},
+		"too small":            {validSettings + "[recovery]\nfloor = 1ms", vaneyoke.CodeSettingsValue, "[recovery] floor: must be at least 10ms, got 1ms"},
+		"too large":            {validSettings + "[trace]\nratio = 1.5", vaneyoke.CodeSettingsValue, "[trace] ratio: must be at most 1, got 1.5"},
+		"no address":           {strings.Replace(validSettings, "hall-a", "hall-a\nlisten = localhost:80", 1), vaneyoke.CodeSettingsValue, "must be an IP number and a port"},
+		"no url":               {strings.Replace(validSettings, "http://127.0.0.1:2", "ftp://x", 1), vaneyoke.CodeSettingsValue, "must be an http or https address"},
+		"no level":             {validSettings + "[log]\nlevel = loud", vaneyoke.CodeSettingsValue, "must be one of"},
+		"gateway, no store":    {gatewaySettings + "readiness = 127.0.0.1:2\n", vaneyoke.CodeSettingsKey, "[gateway] store: is missing"},
+		"gateway, no probe":    {gatewaySettings + "store = 127.0.0.1:2\n", vaneyoke.CodeSettingsKey, "[gateway] readiness: is missing"},
+		"gateway, bad address": {gatewaySettings + "store = store:2\n", vaneyoke.CodeSettingsValue, "[gateway] store: must be an IP number"},
+		"gateway, bad section": {gatewaySettings + "store = 127.0.0.1:3\nreadiness = 127.0.0.1:2\n[peers]\nlisten = x\n", vaneyoke.CodeSettingsValue, "[peers] listen"},
+		"gateway":              {gatewaySettings + "store = 127.0.0.1:3\nreadiness = 127.0.0.1:2\n", vaneyoke.CodeOK, ""},
 		"no INI":               {"[node", vaneyoke.CodeSettingsFile, "node.ini"},
 	}
 	for name, tc := range cases {
--- a/process/settings/value.go
+++ b/process/settings/value.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-var levels = []string{"debug", "info", "warning", "error"}
+var logLevels = []string{"debug", "info", "warning", "error"}
 
-// set parses and checks the text of one setting.
-func set(field reflect.Value, tag reflect.StructTag, text string) error {
+// setField parses and validates the text of one setting.
+func setField(field reflect.Value, tag reflect.StructTag, text string) error {
 	switch p := field.Addr().Interface().(type) {
 	case *string:
 		*p = text
@@ -44,16 +44,16 @@
 
 func parseFloat(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
 
-// setNumber parses a value and holds it against the tag's bounds.
-func setNumber[T cmp.Ordered](p *T, tag reflect.StructTag, text string, parse func(string) (T, error), form string) error {
+// setNumber parses a value and checks it against the tag's bounds.
+func setNumber[T cmp.Ordered](p *T, tag reflect.StructTag, text string, parse func(string) (T, error), expected string) error {
 	value, err := parse(text)
 	if err != nil {
-		return fmt.Errorf("must be %s, got %q", form, text)
+		return fmt.Errorf("must be %s, got %q", expected, text)
 	}
-	if least, err := parse(tag.Get("min")); err == nil && value < least {
+	if minimum, err := parse(tag.Get("min")); err == nil && value < minimum {
 		return fmt.Errorf("must be at least %s, got %s", tag.Get("min"), text)
 	}
-	if most, err := parse(tag.Get("max")); err == nil && value > most {
+	if maximum, err := parse(tag.Get("max")); err == nil && value > maximum {
 		return fmt.Errorf("must be at most %s, got %s", tag.Get("max"), text)
 	}
 	*p = value
@@ -82,8 +82,8 @@
 	case "url":
 		return checkURL(text)
 	case "level":
-		if !slices.Contains(levels, text) {
-			return fmt.Errorf("must be one of %v, got %q", levels, text)
+		if !slices.Contains(logLevels, text) {
+			return fmt.Errorf("must be one of %v, got %q", logLevels, text)
 		}
 	}
 	return nil
--- a/tools/fleet/stop_test.go
+++ b/tools/fleet/stop_test.go
@@ -38,7 +38,7 @@
 func withShortGrace(c *fleet.Config) {
 	c.Adjust = func(s *settings.Settings) {
 		patient(s)
-		s.Node.Grace, s.Limits.CallSilence, s.Limits.WholeLimit, s.Limits.MaxWait = time.Second, time.Hour, time.Hour, time.Hour
+		s.Node.Grace, s.Limits.CallSilence, s.Limits.UnaryTimeout, s.Limits.MaxWait = time.Second, time.Hour, time.Hour, time.Hour
 	}
 }
 
--- a/tools/fleet/upstream_leaving_test.go
+++ b/tools/fleet/upstream_leaving_test.go
@@ -96,7 +96,7 @@
 func waitUntilAvoided(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	for _, n := range f.Nodes {
-		for n.TakesWork(vaneyoke.UpstreamID("engine-0")) {
+		for n.AcceptsWork(vaneyoke.UpstreamID("engine-0")) {
 			must.NoError(t, t.Context().Err())
 			time.Sleep(time.Millisecond)
 		}
