--- a/process/node/config.go
+++ b/process/node/config.go
@@ -46,7 +46,7 @@
 		Deviations: s.Recovery.Deviations,
 		Patience:   s.Recovery.Patience,
 	}
-	return relay.Config{Generation: config, PlainEvery: uint64(s.Log.UneventfulLogEvery), CallSilence: s.Limits.CallSilence, WholeLimit: s.Limits.UnaryTimeout}
+	return relay.Config{Generation: config, UneventfulLogEvery: uint64(s.Log.UneventfulLogEvery), CallSilence: s.Limits.CallSilence, UnaryTimeout: s.Limits.UnaryTimeout}
 }
 
 func apiConfig(s settings.Limits) callerapi.Config {
--- a/process/node/crash_guard.go
+++ b/process/node/crash_guard.go
@@ -13,21 +13,21 @@
 // crashGuard connects a relay to the quarantine of requests that crash the upstreams that run them.
 type crashGuard struct{ crashes *quarantines.Node }
 
-// Crashed records that an upstream crashed when it started to run a request.
-func (g crashGuard) Crashed(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+// RecordCrash records that an upstream crashed when it started to run a request.
+func (g crashGuard) RecordCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.RecordCrash(content, upstream, sentAt)
 }
 
-// Outlived records that an upstream lost a request when it started to run it, but did not crash.
-func (g crashGuard) Outlived(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
+// RecordLossWithoutCrash records that an upstream lost a request when it started to run it, but did not crash.
+func (g crashGuard) RecordLossWithoutCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.RecordLossWithoutCrash(content, upstream, sentAt)
 }
 
-// Survived records that an upstream completed a request.
-func (g crashGuard) Survived(content vaneyoke.ContentID) { g.crashes.RecordCompletion(content) }
+// RecordCompletion records that an upstream completed a request.
+func (g crashGuard) RecordCompletion(content vaneyoke.ContentID) { g.crashes.RecordCompletion(content) }
 
-// Barred reports whether requests with this content are blocked, and for how long.
-func (g crashGuard) Barred(content vaneyoke.ContentID) (time.Duration, bool) {
+// Blocked reports whether requests with this content are blocked, and for how long.
+func (g crashGuard) Blocked(content vaneyoke.ContentID) (time.Duration, bool) {
 	return g.crashes.Blocked(content)
 }
 
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -32,7 +32,7 @@
 
 // handleSighting applies what another node observed about an upstream or about a request content.
 func (b *gatewayPlacer) handleSighting(s gossip.Sighting) {
-	if s.Kind.OfRun() {
+	if s.Kind.AboutContent() {
 		b.crashes.RecordGossip(s)
 		return
 	}
@@ -51,30 +51,30 @@
 // Limited reports whether an upstream declares a rate limit.
 func (b *gatewayPlacer) Limited(id vaneyoke.UpstreamID) bool { return b.limits.Limited(id) }
 
-// Permit acquires a permit to send a request to an upstream.
-func (b *gatewayPlacer) Permit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
+// AcquirePermit acquires a permit to send a request to an upstream.
+func (b *gatewayPlacer) AcquirePermit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
 	return relay.Permit(b.limits.AcquirePermit(ctx, id))
 }
 
-// Withheld records that a placed attempt got no permit.
-func (b *gatewayPlacer) Withheld(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
+// LimitReached records that a placed attempt got no permit.
+func (b *gatewayPlacer) LimitReached(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
 	b.Balancer.Withheld(need, isRetry, id, permit.Next, permit.Turn)
 }
 
-// Answered records an upstream's answer for the rollout of its service.
-func (b *gatewayPlacer) Answered(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
+// RecordAnswer records an upstream's answer for the rollout of its service.
+func (b *gatewayPlacer) RecordAnswer(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
 	if b.rollouts != nil {
 		b.rollouts.RecordAnswer(steady.Now(), upstream, route, answer)
 	}
 }
 
-// Doubts reports whether the list of upstreams may be stale, so that it may miss upstreams that were replaced.
-func (b *gatewayPlacer) Doubts() bool { return b.mesh.Stale() }
+// MayBeStale reports whether the list of upstreams may be stale, so that it may miss upstreams that were replaced.
+func (b *gatewayPlacer) MayBeStale() bool { return b.mesh.Stale() }
 
 // FirstToken records an attempt's time to the first token.
 func (b *gatewayPlacer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
 	b.Balancer.FirstToken(id, took, promptBytes)
-	b.gossip.Seen(id, gossip.KindWell)
+	b.gossip.Seen(id, gossip.KindHealthy)
 }
 
 // Ended records the outcome of an attempt, and gossips it if it says something about the upstream's reachability.
@@ -82,13 +82,13 @@
 	b.Balancer.Ended(id, outcome, begun)
 	switch outcome {
 	case placement.OutcomeDone:
-		b.gossip.Seen(id, gossip.KindWell)
+		b.gossip.Seen(id, gossip.KindHealthy)
 	case placement.OutcomeLost:
 		b.gossip.Seen(id, gossip.KindLost)
 	case placement.OutcomeUnreachable:
 		b.gossip.Seen(id, gossip.KindUnreachable)
 	case placement.OutcomeGone:
-		b.gossip.Seen(id, gossip.KindGone)
+		b.gossip.Seen(id, gossip.KindReplaced)
 	default: // says nothing about whether the upstream is reachable
 	}
 }
--- a/process/node/gateway_wire.go
+++ b/process/node/gateway_wire.go
@@ -92,7 +92,7 @@
 		do.MustInvoke[logrus.FieldLogger](i),
 		relayConfig(s),
 	)
-	placer.crashes.OnBlock(r.Bar)
+	placer.crashes.OnBlock(r.Quarantine)
 	return r, nil
 }
 
@@ -136,7 +136,7 @@
 	config.SingleNode = config.SingleNode.RecoverWithin(s.Gateway.RecoverWithin)
 	config.Reader = config.Reader.RecoverWithin(s.Gateway.RecoverWithin)
 	if s.Gateway.Peers == "" {
-		config.Feed.First, config.Feed.Choices = 0, 0 // it follows no other node
+		config.Feed.MemberWait, config.Feed.MaxCandidates = 0, 0 // it follows no other node
 	}
 	members := platform.NewMembers(client, s.Gateway.Store)
 	rolloutUpdates := do.MustInvoke[*rolloutTables](i)
@@ -160,10 +160,10 @@
 		tables["rollouts"] = mesh.Table{Source: platform.NewRollouts(client, s.Gateway.Store), MayLag: true, Apply: rolloutUpdates.setRecords}
 	}
 	hub := mesh.NewHub(tables)
-	self := feed.Member{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre), Address: s.Gateway.Peers, Bandwidth: s.Node.Bandwidth, Speaks: feed.DialectOwn}
+	self := feed.Member{VM: vaneyoke.VMID(s.Node.VM), DataCentre: vaneyoke.DataCentreID(s.Node.DataCentre), Address: s.Gateway.Peers, Bandwidth: s.Node.Bandwidth, Protocol: feed.ProtocolCurrent}
 	vars := do.MustInvoke[*expvar.Map](i)
 	vars.Set("build", expvar.Func(func() any { return vaneyoke.Build() }))
-	vars.Set("speaks", expvar.Func(func() any { return feed.DialectOwn }))
+	vars.Set("speaks", expvar.Func(func() any { return feed.ProtocolCurrent }))
 	node = mesh.New(self, config, hub, members, newPeerClient(), mesh.NewMetrics(vars), do.MustInvoke[logrus.FieldLogger](i))
 	vars.Set("upstreams", expvar.Func(func() any { return countUpstreams(active.balancer.Loads()) }))
 	vars.Set("upstreams_failing", expvar.Func(func() any { return failingUpstreams(active.balancer.Loads()) }))
