--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -36,7 +36,7 @@
 		b.crashes.RecordGossip(s)
 		return
 	}
-	b.Heard(s)
+	b.RecordGossip(s)
 }
 
 // Place chooses an upstream for an attempt.
@@ -58,7 +58,7 @@
 
 // LimitReached records that a placed attempt got no permit.
 func (b *gatewayPlacer) LimitReached(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
-	b.Balancer.Withheld(need, isRetry, id, permit.Next, permit.Turn)
+	b.Balancer.LimitReached(need, isRetry, id, permit.Next, permit.Turn)
 }
 
 // RecordAnswer records an upstream's answer for the rollout of its service.
--- a/process/node/node.go
+++ b/process/node/node.go
@@ -232,8 +232,8 @@
 func (n *Node) waitAnswersSaved(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	if !waitUntilZero(ctx, n.claims.Saving) {
-		n.log.WithField("count", n.claims.Saving()).Warn("answers_not_kept")
+	if !waitUntilZero(ctx, n.claims.PendingSaves) {
+		n.log.WithField("count", n.claims.PendingSaves()).Warn("answers_not_kept")
 	}
 }
 
