--- a/api/callerapi/answer.go
+++ b/api/callerapi/answer.go
@@ -52,7 +52,7 @@
 
 // announceEnd tells the caller where its connection ends with the answer.
 func announceEnd(ctx huma.Context) {
-	if serve.CallerOf(ctx.Context()).Ending() {
+	if serve.CallerOf(ctx.Context()).WillClose() {
 		ctx.SetHeader("Connection", "close")
 	}
 }
--- a/api/callerapi/generate.go
+++ b/api/callerapi/generate.go
@@ -92,7 +92,7 @@
 // complete fills in what the body does not say.
 func (a *API) complete(ctx context.Context, req *vaneyoke.Request, workspace vaneyoke.Workspace, service vaneyoke.ServiceID, in *CallInput) {
 	req.ID = vaneyoke.RequestID(uuid.NewString())
-	serve.CallerOf(ctx).Note(string(req.ID))
+	serve.CallerOf(ctx).SetRequestID(string(req.ID))
 	req.Workspace = workspace.ID
 	req.Recovery = workspace.Recovery
 	req.ReceivedAt = time.Now()
--- a/api/gateway/answer.go
+++ b/api/gateway/answer.go
@@ -139,7 +139,7 @@
 
 // announceEnd tells the caller where its connection ends with the answer.
 func (a *answer) announceEnd() {
-	if a.caller.Ending() {
+	if a.caller.WillClose() {
 		a.http.Header().Set("Connection", "close")
 	}
 }
--- a/api/gateway/gateway.go
+++ b/api/gateway/gateway.go
@@ -22,11 +22,11 @@
 // Envelope is what a request's headers say.
 type Envelope struct {
 	ID           vaneyoke.RequestID
-	Key          string        // of the workspace; "" for none
-	Wait         time.Duration // how long the caller waits; 0 where it does not say
-	After        string        // id of the last event that the caller holds; "" for none
+	APIKey       string        // of the workspace; "" for none
+	MaxWait      time.Duration // how long the caller waits; 0 where it does not say
+	LastEventID  string        // id of the last event that the caller holds; "" for none
 	PromptTokens vaneyoke.Tokens
-	Parts        []string    // of the prompt in order, the last its own; nil where the request does not say
+	PromptParts  []string    // of the prompt in order, the last its own; nil where the request does not say
 	Header       http.Header // what is passed on to upstreams
 }
 
@@ -37,14 +37,14 @@
 }
 
 // Directory knows the configuration in force.
-type Directory interface {
+type RouteSource interface {
 	// Routes returns the newest table; nil where none is known yet.
 	Routes() *route.Table
 }
 
 // Config holds the gateway's bounds.
 type Config struct {
-	BodyBytes    int64         // largest body where the configuration names no bound
+	MaxBodyBytes int64         // largest body where the configuration names no bound
 	MaxWait      time.Duration // longest time for an answer where neither the route nor the caller names one
 	WriteTimeout time.Duration // longest time that a caller may take to read a piece of its answer
 }
@@ -53,24 +53,24 @@
 type Gateway struct {
 	config    Config
 	codec     Codec
-	directory Directory
+	directory RouteSource
 	relay     *relay.Relay
 	metrics   *Metrics
 	log       logrus.FieldLogger
 	open      atomic.Int64
-	stopping  atomic.Pointer[Stopping] // nil while it does not stop
+	stopping  atomic.Pointer[StopPlan] // nil while it does not stop
 }
 
 // New returns a gateway.
-func New(config Config, codec Codec, directory Directory, r *relay.Relay, metrics *Metrics, log logrus.FieldLogger) *Gateway {
+func New(config Config, codec Codec, directory RouteSource, r *relay.Relay, metrics *Metrics, log logrus.FieldLogger) *Gateway {
 	return &Gateway{config: config, codec: codec, directory: directory, relay: r, metrics: metrics, log: log}
 }
 
 // Open returns the number of requests being answered.
-func (g *Gateway) Open() int { return int(g.open.Load()) }
+func (g *Gateway) InFlight() int { return int(g.open.Load()) }
 
 // Stop has the node say that it is not ready, and refuses requests that would be cut off.
-func (g *Gateway) Stop(s Stopping) { g.stopping.Store(&s) }
+func (g *Gateway) Stop(s StopPlan) { g.stopping.Store(&s) }
 
 // Ready reports whether the node takes new connections.
 func (g *Gateway) Ready() bool { return g.stopping.Load() == nil && g.directory.Routes() != nil }
@@ -104,9 +104,9 @@
 		return
 	}
 	if s := g.stopping.Load(); s != nil {
-		g.metrics.TakenStopping.Add(1)
+		g.metrics.AcceptedWhileStopping.Add(1)
 		g.log.WithFields(logrus.Fields{
-			"request": req.ID, "stopping_ms": c.received.Sub(s.Since).Milliseconds(), "grace_left_ms": s.Until.Sub(c.received).Milliseconds(),
+			"request": req.ID, "stopping_ms": c.received.Sub(s.Since).Milliseconds(), "grace_left_ms": s.Deadline.Sub(c.received).Milliseconds(),
 			"wait_ms": f.Deadline.Sub(c.received).Milliseconds(), "opened_ms": c.received.Sub(c.caller.OpenedAt()).Milliseconds(),
 		}).Info("taken_while_stopping")
 	}
@@ -120,23 +120,23 @@
 	r := c.request
 	envelope, err := g.codec.Decode(r)
 	req := &vaneyoke.Request{ID: envelope.ID, ReceivedAt: c.received}
-	c.caller.Note(string(req.ID))
+	c.caller.SetRequestID(string(req.ID))
 	if err != nil {
 		return req, relay.Forwarding{}, err
 	}
 	table := g.directory.Routes()
 	if table == nil {
-		return req, relay.Forwarding{}, vaneyoke.ErrRetryAfter(vaneyoke.CodeNotFresh, retryLater(envelope.Wait, rand.Float64()), "no configuration is known yet")
+		return req, relay.Forwarding{}, vaneyoke.ErrRetryAfter(vaneyoke.CodeNotFresh, retryLater(envelope.MaxWait, rand.Float64()), "no configuration is known yet")
 	}
 	found, ok := table.Find(r.Host, r.URL.Path)
 	if !ok {
 		return req, relay.Forwarding{}, vaneyoke.Err(vaneyoke.CodeNotFound, "no route for %s%s", r.Host, r.URL.Path)
 	}
-	workspace, err := table.Workspace(found, envelope.Key)
+	workspace, err := table.Workspace(found, envelope.APIKey)
 	if err != nil {
 		return req, relay.Forwarding{}, err
 	}
-	longest := g.longest(found, envelope.Wait)
+	longest := g.longest(found, envelope.MaxWait)
 	a := arrival{
 		at: c.received, opened: c.caller.OpenedAt(), needs: needed(found, longest),
 		stream: found.Kind == route.KindStream, resumable: found.Repeatable(),
@@ -176,8 +176,8 @@
 		Stream:            r.Kind == route.KindStream,
 		HealthPath:        service.HealthPath,
 		Replicate:         service.Replicas && r.Kind == route.KindStream && r.Resumable,
-		PromptParts:       envelope.Parts,
-		ResumeAfter:       envelope.After,
+		PromptParts:       envelope.PromptParts,
+		ResumeAfter:       envelope.LastEventID,
 		LatencyGoal:       r.LatencyGoal,
 		EventIntervalGoal: r.EventIntervalGoal,
 		MaxAttempts:       r.MaxAttempts,
@@ -209,7 +209,7 @@
 // readBody returns the whole body, which has to come before the answer is due; an error carries CodeBodyTooLarge,
 // CodeWaitExceeded or CodeBadRequest.
 func (g *Gateway) readBody(c *call, limits route.Limits, deadline time.Time) ([]byte, error) {
-	most := g.config.BodyBytes
+	most := g.config.MaxBodyBytes
 	if limits.BodyBytes > 0 {
 		most = limits.BodyBytes
 	}
--- a/api/gateway/stopping_test.go
+++ b/api/gateway/stopping_test.go
@@ -16,7 +16,7 @@
 		short = 800 * time.Millisecond // is answered before the node ends, until 6,900 ms
 	)
 	since := time.Unix(1000, 0)
-	s := &Stopping{Since: since, Until: since.Add(7700 * time.Millisecond), Calm: 2200 * time.Millisecond, Early: 2500 * time.Millisecond}
+	s := &StopPlan{Since: since, Deadline: since.Add(7700 * time.Millisecond), ReroutingDelay: 2200 * time.Millisecond, LongRequestWindow: 2500 * time.Millisecond}
 	before := since.Add(-time.Minute)
 	stream := arrival{stream: true, needs: long}
 	resumable := arrival{stream: true, resumable: true, needs: long}
@@ -24,7 +24,7 @@
 	longCall := arrival{needs: long}
 	shortStream := arrival{stream: true, needs: short}
 	cases := map[string]struct {
-		stopping *Stopping
+		stopping *StopPlan
 		request  arrival
 		at       time.Duration // after the node was told to stop
 		opened   time.Time
--- a/api/serve/caller.go
+++ b/api/serve/caller.go
@@ -18,7 +18,7 @@
 }
 
 // Note keeps a request's id with the connection, for what is told of connections that are cut off.
-func (c Caller) Note(id string) {
+func (c Caller) SetRequestID(id string) {
 	if c.conn == nil {
 		return
 	}
@@ -29,7 +29,7 @@
 
 // Ending reports whether the connection ends with the answer, which the answer has to tell the caller. It is asked when the
 // answer is written, since the server may have been told to end while the request was under way.
-func (c Caller) Ending() bool {
+func (c Caller) WillClose() bool {
 	if c.conn == nil {
 		return false
 	}
--- a/api/serve/conn.go
+++ b/api/serve/conn.go
@@ -10,7 +10,7 @@
 
 // The phases of a connection.
 const (
-	PhaseFresh     Phase = iota // it was opened, and nothing has come in
+	PhaseNew       Phase = iota // it was opened, and nothing has come in
 	PhaseReading                // a part of a request has come in
 	PhaseAnswering              // a handler has the request, or its answer is on the way out
 	PhaseIdle                   // the last answer has been written
@@ -19,7 +19,7 @@
 // String returns the phase as it stands in logs.
 func (p Phase) String() string {
 	switch p {
-	case PhaseFresh:
+	case PhaseNew:
 		return "fresh"
 	case PhaseReading:
 		return "reading"
--- a/api/serve/end.go
+++ b/api/serve/end.go
@@ -13,7 +13,7 @@
 
 // Retire has each answer ask its caller to close the connection. Connections that are idle are left open, because a request
 // may be on its way on them.
-func (s *Server) Retire() {
+func (s *Server) DisableKeepAlives() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retired = true
@@ -28,7 +28,7 @@
 }
 
 // Settle waits until no request is under way, while new ones are still taken, and reports whether that came before ctx ended.
-func (s *Server) Settle(ctx context.Context) bool {
+func (s *Server) WaitIdle(ctx context.Context) bool {
 	return s.await(ctx, func() bool {
 		for c := range s.conns {
 			if c.known.Phase.Busy() {
@@ -41,7 +41,7 @@
 
 // End accepts no more connections, and waits until each open one has had its request answered. It reports whether that
 // came before ctx ended; where it did not, it can be called again.
-func (s *Server) End(ctx context.Context) bool {
+func (s *Server) Shutdown(ctx context.Context) bool {
 	s.stopAccepting()
 	s.CloseIdle()
 	fresh := time.AfterFunc(freshWait, s.closeFresh)
@@ -61,7 +61,7 @@
 func (s *Server) closeFresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closeWhere(func(c *conn) bool { return c.known.Phase == PhaseFresh })
+	s.closeWhere(func(c *conn) bool { return c.known.Phase == PhaseNew })
 }
 
 // closeWhere closes the connections of a kind, but for those on which a request has arrived that was not read yet.
--- a/api/serve/end_test.go
+++ b/api/serve/end_test.go
@@ -62,7 +62,7 @@
 	}
 	ended := make(chan bool, 1)
 	ctx := within(t, patient)
-	go func() { ended <- s.End(ctx) }()
+	go func() { ended <- s.Shutdown(ctx) }()
 	_, err = answerOn(idle)
 	must.Error(t, err) // closed, with nothing on the way
 	write(t, half, ask[20:])
@@ -85,10 +85,10 @@
 	conn := s.dial(t)
 	write(t, conn, ask)
 	s.until(t, serve.PhaseAnswering)
-	must.False(t, s.Settle(within(t, 20*time.Millisecond)))
-	must.False(t, s.End(within(t, 20*time.Millisecond)))
+	must.False(t, s.WaitIdle(within(t, 20*time.Millisecond)))
+	must.False(t, s.Shutdown(within(t, 20*time.Millisecond)))
 	close(s.letGo)
-	must.True(t, s.End(within(t, patient)))
+	must.True(t, s.Shutdown(within(t, patient)))
 	_, err := answerOn(conn)
 	must.NoError(t, err)
 }
@@ -103,8 +103,8 @@
 	_, err := answerOn(conn)
 	must.NoError(t, err)
 	s.until(t, serve.PhaseIdle)
-	s.Retire()
-	must.True(t, s.Settle(within(t, patient)))
+	s.DisableKeepAlives()
+	must.True(t, s.WaitIdle(within(t, patient)))
 	write(t, conn, ask)
 	res, err := answerOn(conn)
 	must.NoError(t, err)
@@ -153,7 +153,7 @@
 		for range answered {
 			<-ready
 		}
-		must.True(t, s.End(within(t, patient)))
+		must.True(t, s.Shutdown(within(t, patient)))
 		callers.Wait()
 		must.SliceNotContains(t, answered, false)
 	}
@@ -183,7 +183,7 @@
 	<-inFirst
 	ended := make(chan bool, 1)
 	ctx := within(t, patient)
-	go func() { ended <- s.End(ctx) }()
+	go func() { ended <- s.Shutdown(ctx) }()
 	time.Sleep(20 * time.Millisecond) // so that End has begun
 	close(letGo)
 	reader := bufio.NewReader(conn)
@@ -222,9 +222,9 @@
 func TestAnswerOfBeforeTheStopAnnouncesTheEnd(t *testing.T) {
 	letGo := make(chan struct{})
 	s := serve.New(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		must.False(t, serve.CallerOf(r.Context()).Ending())
+		must.False(t, serve.CallerOf(r.Context()).WillClose())
 		<-letGo
-		must.True(t, serve.CallerOf(r.Context()).Ending())
+		must.True(t, serve.CallerOf(r.Context()).WillClose())
 		fmt.Fprint(w, "answer")
 	}), serve.Config{})
 	l, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // nothing to cancel
@@ -235,7 +235,7 @@
 	conn := kept.dial(t)
 	write(t, conn, ask)
 	kept.until(t, serve.PhaseAnswering)
-	s.Retire()
+	s.DisableKeepAlives()
 	close(letGo)
 	_, err = answerOn(conn)
 	must.NoError(t, err)
@@ -297,7 +297,7 @@
 	hold.Lock()
 	write(t, conn, ask)
 	time.Sleep(20 * time.Millisecond) // for it to arrive
-	s.Retire()
+	s.DisableKeepAlives()
 	s.CloseIdle()
 	hold.Unlock()
 	res, err := answerOn(conn)
--- a/api/serve/server.go
+++ b/api/serve/server.go
@@ -12,10 +12,10 @@
 
 // Config holds a server's bounds; zero values bound nothing.
 type Config struct {
-	HeaderWait  time.Duration // longest time that a caller may take to send a request's header
-	IdleWait    time.Duration // how long a connection without a request is kept
-	HeaderBytes int           // largest header of a request
-	Errors      *log.Logger   // for panics of handlers and failures to accept; nil for standard error
+	ReadHeaderTimeout time.Duration // longest time that a caller may take to send a request's header
+	IdleTimeout       time.Duration // how long a connection without a request is kept
+	MaxHeaderBytes    int           // largest header of a request
+	ErrorLog          *log.Logger   // for panics of handlers and failures to accept; nil for standard error
 }
 
 // Server is an HTTP server on one listener. It ends in steps, none of which cuts a request off: Retire, Settle, End.
@@ -40,10 +40,10 @@
 		Handler:           http.HandlerFunc(s.answer),
 		ConnContext:       func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		ConnState:         s.follow,
-		ReadHeaderTimeout: config.HeaderWait,
-		IdleTimeout:       config.IdleWait,
-		MaxHeaderBytes:    config.HeaderBytes,
-		ErrorLog:          config.Errors,
+		ReadHeaderTimeout: config.ReadHeaderTimeout,
+		IdleTimeout:       config.IdleTimeout,
+		MaxHeaderBytes:    config.MaxHeaderBytes,
+		ErrorLog:          config.ErrorLog,
 	}
 	return s
 }
@@ -86,7 +86,7 @@
 	if !s.answering(caller.conn) {
 		panic(http.ErrAbortHandler)
 	}
-	if caller.Ending() {
+	if caller.WillClose() {
 		w.Header().Set("Connection", "close")
 	}
 	left := &body{ReadCloser: r.Body}
--- a/api/serve/server_test.go
+++ b/api/serve/server_test.go
@@ -26,7 +26,7 @@
 	s := &started{letGo: make(chan struct{})}
 	s.Server = serve.New(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		caller := serve.CallerOf(r.Context())
-		caller.Note(r.Header.Get("Id"))
+		caller.SetRequestID(r.Header.Get("Id"))
 		must.False(t, caller.OpenedAt().IsZero())
 		<-s.letGo
 		fmt.Fprint(w, "answer")
@@ -71,7 +71,7 @@
 func TestPhasesOfAConnection(t *testing.T) {
 	s := start(t)
 	conn := s.dial(t)
-	s.until(t, serve.PhaseFresh)
+	s.until(t, serve.PhaseNew)
 	write(t, conn, "GET / HTTP/1.1\r\nHost: x\r\n")
 	s.until(t, serve.PhaseReading)
 	write(t, conn, "Id: r-1\r\n\r\n")
--- a/process/node/gateway.go
+++ b/process/node/gateway.go
@@ -128,7 +128,7 @@
 func (n *GatewayNode) serve(l net.Listener, handler http.Handler) {
 	s := n.settings.Gateway
 	server := serve.New(handler, serve.Config{
-		HeaderWait: s.HeaderWait, IdleWait: s.IdleWait, HeaderBytes: s.HeaderBytes, Errors: serverErrors(n.log),
+		ReadHeaderTimeout: s.HeaderWait, IdleTimeout: s.IdleWait, MaxHeaderBytes: s.HeaderBytes, ErrorLog: serverErrors(n.log),
 	})
 	n.servers = append(n.servers, server)
 	n.tasks.Go(func() {
@@ -172,8 +172,8 @@
 // EnterLameDuck makes the node report that it is not ready; it keeps accepting requests that it can answer before the deadline.
 func (n *GatewayNode) EnterLameDuck(now, deadline time.Time) {
 	lameDuckStreams := min(n.current.Load().Gateway.LameDuckStreams, deadline.Sub(now)/lameDuckStreamDivisor)
-	n.gateway.Stop(gateway.Stopping{Since: now, Until: deadline, Calm: notReadyPropagation, Early: lameDuckStreams})
-	n.callers().Retire()
+	n.gateway.Stop(gateway.StopPlan{Since: now, Deadline: deadline, ReroutingDelay: notReadyPropagation, LongRequestWindow: lameDuckStreams})
+	n.callers().DisableKeepAlives()
 }
 
 // callers returns the server that callers use.
@@ -190,7 +190,7 @@
 	if n.duties != nil {
 		n.duties.ReleaseLeases()
 	}
-	n.log.WithFields(logrus.Fields{"open": n.gateway.Open(), "grace": s.Node.Grace, "lame": s.Gateway.LameDuck}).Info("node_stopping")
+	n.log.WithFields(logrus.Fields{"open": n.gateway.InFlight(), "grace": s.Node.Grace, "lame": s.Gateway.LameDuck}).Info("node_stopping")
 	pause.For(ctx, min(s.Gateway.LameDuck, grace))
 	interrupted := drainServer(ctx, n.callers(), n.relay, deadline)
 	cutOff := logCutOff(n.log, n.callers(), stopping)
--- a/process/node/node.go
+++ b/process/node/node.go
@@ -121,7 +121,7 @@
 }
 
 func (n *Node) serve(handler http.Handler, l net.Listener) {
-	server := serve.New(handler, serve.Config{HeaderWait: headerTimeout, Errors: serverErrors(n.log)})
+	server := serve.New(handler, serve.Config{ReadHeaderTimeout: headerTimeout, ErrorLog: serverErrors(n.log)})
 	n.servers = append(n.servers, server)
 	n.tasks.Go(func() {
 		if err := server.Serve(l); err != nil {
@@ -176,7 +176,7 @@
 	stopping := time.Now()
 	n.stopping.Store(true)
 	for _, server := range n.servers {
-		server.Retire()
+		server.DisableKeepAlives()
 	}
 	n.log.WithFields(logrus.Fields{"open": n.api.Open(), "grace": n.settings.Node.Grace}).Info("node_stopping")
 	ctx, cancel := context.WithDeadline(ctx, stopping.Add(n.settings.Node.Grace))
@@ -195,7 +195,7 @@
 	grace := n.settings.Node.Grace
 	drainCtx, cancel := context.WithDeadline(ctx, stopping.Add(grace-min(leaveTimeout, grace/leaveGraceDivisor)))
 	defer cancel()
-	drained := n.callers().Settle(drainCtx) && waitUntilZero(drainCtx, n.api.Open)
+	drained := n.callers().WaitIdle(drainCtx) && waitUntilZero(drainCtx, n.api.Open)
 	n.failover.Flush(ctx)
 	if drained {
 		return 0
@@ -211,11 +211,11 @@
 	runConcurrently(
 		func() { n.waitAnswersSaved(ctx) },
 		func() { n.leave(ctx) },
-		func() { n.servers[adminServer].End(controlCtx) },
+		func() { n.servers[adminServer].Shutdown(controlCtx) },
 	)
 	runConcurrently(
-		func() { n.callers().End(ctx) },
-		func() { n.servers[peerServer].End(controlCtx) },
+		func() { n.callers().Shutdown(ctx) },
+		func() { n.servers[peerServer].Shutdown(controlCtx) },
 	)
 }
 
--- a/process/node/stop.go
+++ b/process/node/stop.go
@@ -31,22 +31,22 @@
 func drainServer(ctx context.Context, server *serve.Server, r *relay.Relay, deadline time.Time) (interrupted int) {
 	deadlineCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if settleBefore(ctx, server, deadline.Add(-maxInterruptLead)) && server.End(deadlineCtx) {
+	if settleBefore(ctx, server, deadline.Add(-maxInterruptLead)) && server.Shutdown(deadlineCtx) {
 		return 0
 	}
 	lead := min(time.Duration(r.Streams())*interruptLeadPerStream, maxInterruptLead)
-	if settleBefore(ctx, server, deadline.Add(-lead)) && server.End(deadlineCtx) {
+	if settleBefore(ctx, server, deadline.Add(-lead)) && server.Shutdown(deadlineCtx) {
 		return 0
 	}
 	interrupted = r.InterruptStreams()
-	if server.Settle(deadlineCtx) && server.End(deadlineCtx) {
+	if server.WaitIdle(deadlineCtx) && server.Shutdown(deadlineCtx) {
 		return interrupted
 	}
 	interrupted += r.Interrupt()
 	finalCtx, cancelFinal := context.WithTimeout(ctx, finalAnswerTimeout) // relative to now, because the process may have been suspended
 	defer cancelFinal()
-	server.Settle(finalCtx) // new callers are told to retry; a closed listener could not tell them
-	server.End(finalCtx)
+	server.WaitIdle(finalCtx) // new callers are told to retry; a closed listener could not tell them
+	server.Shutdown(finalCtx)
 	return interrupted
 }
 
@@ -54,7 +54,7 @@
 func settleBefore(ctx context.Context, server *serve.Server, deadline time.Time) bool {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	return server.Settle(ctx)
+	return server.WaitIdle(ctx)
 }
 
 // logCutOff logs each connection that is in the middle of a request when its server is closed, and returns their number.
--- a/shell/claims/batcher.go
+++ b/shell/claims/batcher.go
@@ -114,5 +114,5 @@
 	}
 	b.transactions.Add(1)
 	b.writes.Add(int64(len(batch)))
-	return store.CommitSettled(ctx, b.table, tx)
+	return store.CommitWithRetry(ctx, b.table, tx)
 }
--- a/shell/relay/attempt.go
+++ b/shell/relay/attempt.go
@@ -23,7 +23,7 @@
 
 // inspectTail asks an engine for the text that the detokenizer of the lost engine had still buffered.
 func (s *Session) inspectTail(e generation.InspectTail, upstream vaneyoke.Upstream) {
-	buffered, err := s.relay.engines.Held(s.ctx, upstream.URL, s.req.Model, e.IDs)
+	buffered, err := s.relay.engines.IncompleteTokens(s.ctx, upstream.URL, s.req.Model, e.IDs)
 	if err != nil {
 		s.handleError(e.Attempt, &engine.NotSentError{Reason: err.Error()})
 		return
@@ -224,7 +224,7 @@
 	}
 	answer, err := send(ctx, l.upstream.URL+m.path, l.streamName, m.body)
 	if err == nil && s.need.Kind == vaneyoke.KindEngine {
-		err = answer.Generated()
+		err = answer.Err()
 	}
 	if err != nil {
 		s.handleError(attempt, err)
--- a/shell/relay/capacity_test.go
+++ b/shell/relay/capacity_test.go
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				now := time.Now()
-				s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 2, breaks: true}, "b": &lateExchange{from: "b", events: 1}}, reachable: true}
+				s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Response{"a": &lateExchange{from: "a", events: 2, breaks: true}, "b": &lateExchange{from: "b", events: 1}}, reachable: true}
 				r := newForwarderWith(s, &busyPlacer{from: now.Add(tc.room)})
 				session := forwardPrompt(t.Context(), r)
 				result, err := session.Wait(t.Context())
@@ -53,7 +53,7 @@
 // upstream gets it, and the caller is told that it was not run.
 func TestWaitingPromptEndsWithCallerOrNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 1}}}
+		s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Response{"a": &lateExchange{from: "a", events: 1}}}
 		placer := &busyPlacer{from: time.Now().Add(time.Hour)}
 		r := newForwarderWith(s, placer)
 		left, stays := forwardPrompt(t.Context(), r), forwardPrompt(t.Context(), r)
@@ -83,7 +83,7 @@
 func TestSuspensionShortensTheWaitForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 1}}}
+		s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Response{"a": &lateExchange{from: "a", events: 1}}}
 		r := newForwarderWith(s, &busyPlacer{from: now.Add(time.Hour)})
 		session := forwardPrompt(t.Context(), r)
 		time.Sleep(time.Second)
--- a/shell/relay/forwarded.go
+++ b/shell/relay/forwarded.go
@@ -89,11 +89,11 @@
 		Repeat:      l.isRetry,
 		Message:     m.Message,
 		Upstream:    l.upstream,
-		Left:        max(remaining-scale(remaining, deadlineMargin), minForwardedTimeout),
+		Remaining:   max(remaining-scale(remaining, deadlineMargin), minForwardedTimeout),
 		Workspace:   s.req.Workspace,
 		Priority:    s.req.Priority,
 		Stream:      m.Stream,
-		After:       m.lastEventID,
+		LastEventID: m.lastEventID,
 		Replica:     l.replica,
 		FromReplica: e.FromReplica,
 	}
@@ -109,7 +109,7 @@
 	}
 	defer func() { _ = exchange.Close() }()
 	s.recordHead(attempt)
-	if exchange.Events() {
+	if exchange.IsEventStream() {
 		s.handleEvents(ctx, e, m, exchange)
 		return
 	}
@@ -162,7 +162,7 @@
 // runState returns the state of a run on an upstream and the number of chunks that it has produced.
 func (s *Session) runState(ctx context.Context, e generation.QueryRun, upstream vaneyoke.Upstream) (vaneyoke.RunState, vaneyoke.Tokens) {
 	if s.relay.mayQuery(ctx, upstream.ID) {
-		return s.relay.sender.Work(ctx, upstream, s.req.ID)
+		return s.relay.sender.RunState(ctx, upstream, s.req.ID)
 	}
 	return s.inferRunState(e, upstream)
 }
@@ -176,7 +176,7 @@
 }
 
 // handleEvents handles the events of a stream.
-func (s *Session) handleEvents(ctx context.Context, e generation.Start, m *forwarded, exchange forward.Exchange) {
+func (s *Session) handleEvents(ctx context.Context, e generation.Start, m *forwarded, exchange forward.Response) {
 	attempt := e.Attempt
 	received := &generation.Received{Attempt: attempt}
 	received.Batch.IDs = []vaneyoke.TokenID{0}
--- a/shell/relay/forwarded_test.go
+++ b/shell/relay/forwarded_test.go
@@ -92,14 +92,14 @@
 
 // fakeSender answers attempts with the exchanges of their upstreams.
 type fakeSender struct {
-	answers    map[vaneyoke.UpstreamID]forward.Exchange
+	answers    map[vaneyoke.UpstreamID]forward.Response
 	waits      map[vaneyoke.UpstreamID]time.Duration       // before the head arrives
 	reachable  bool                                        // whether the first upstream accepts connections
 	runState   vaneyoke.RunState                           // of each run, as every upstream reports it
 	identities map[vaneyoke.UpstreamID]vaneyoke.UpstreamID // the upstream at the address of another, if it is known
 }
 
-func (s *fakeSender) Send(_ context.Context, a *forward.Attempt) (forward.Exchange, error) {
+func (s *fakeSender) Send(_ context.Context, a *forward.Attempt) (forward.Response, error) {
 	time.Sleep(s.waits[a.Upstream.ID])
 	if exchange, ok := s.answers[a.Upstream.ID]; ok {
 		return exchange, nil
@@ -142,7 +142,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &fakeSender{
-					answers: map[vaneyoke.UpstreamID]forward.Exchange{
+					answers: map[vaneyoke.UpstreamID]forward.Response{
 						"a": &lateExchange{from: "a", delay: tc.eventWait, events: 3},
 						"b": &lateExchange{from: "b", delay: time.Second, events: 3},
 					},
@@ -171,7 +171,7 @@
 func TestInterruptEndsSessionsAndRefusesNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSender{
-			answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 1}, "b": &lateExchange{from: "b", events: 1}},
+			answers: map[vaneyoke.UpstreamID]forward.Response{"a": &lateExchange{from: "a", events: 1}, "b": &lateExchange{from: "b", events: 1}},
 			waits:   map[vaneyoke.UpstreamID]time.Duration{"a": time.Second},
 		}
 		r := newForwarder(s)
@@ -202,7 +202,7 @@
 func TestSlowStreamWithoutGoalsIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSender{
-			answers: map[vaneyoke.UpstreamID]forward.Exchange{
+			answers: map[vaneyoke.UpstreamID]forward.Response{
 				"a": &lateExchange{from: "a", delay: 390 * time.Millisecond, events: 5}, // the first one arrives before the upstream is probed
 			},
 			runState: vaneyoke.RunStateRunning,
@@ -226,7 +226,7 @@
 // attempt that reached the fourth counts as a retry.
 func TestUnsentRetriesAreRefunded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{
+		s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Response{
 			"a": &lateExchange{from: "a", breaks: true},
 			"d": &lateExchange{from: "d", events: 3},
 		}}
@@ -272,7 +272,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &fakeSender{
-					answers:    map[vaneyoke.UpstreamID]forward.Exchange{},
+					answers:    map[vaneyoke.UpstreamID]forward.Response{},
 					identities: map[vaneyoke.UpstreamID]vaneyoke.UpstreamID{"a": "x", "b": "y", "c": "c"},
 				}
 				for _, id := range []vaneyoke.UpstreamID{"a", "b", "c"} {
@@ -302,7 +302,7 @@
 	for state, head := range map[vaneyoke.RunState]string{vaneyoke.RunStateNone: "b", vaneyoke.RunStateQueued: "a"} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &fakeSender{
-				answers: map[vaneyoke.UpstreamID]forward.Exchange{
+				answers: map[vaneyoke.UpstreamID]forward.Response{
 					"a": &lateExchange{from: "a", events: 2}, "b": &lateExchange{from: "b", delay: time.Second, events: 2},
 				},
 				waits: map[vaneyoke.UpstreamID]time.Duration{"a": 2 * goal}, runState: state, reachable: true,
--- a/shell/relay/guard.go
+++ b/shell/relay/guard.go
@@ -83,7 +83,7 @@
 	if r.sender == nil {
 		ctx, cancel := context.WithTimeout(r.ctx, crashCheckTimeout)
 		defer cancel()
-		return !r.engines.Answers(ctx, upstream.URL)
+		return !r.engines.Reachable(ctx, upstream.URL)
 	}
 	if !r.sender.Probe(r.ctx, upstream) {
 		return true
@@ -93,7 +93,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, reportTimeout)
 	defer cancel()
-	report, ok := r.sender.Report(ctx, upstream)
+	report, ok := r.sender.LoadReport(ctx, upstream)
 	return ok && report.Incarnation > upstream.Incarnation
 }
 
--- a/shell/relay/guard_test.go
+++ b/shell/relay/guard_test.go
@@ -68,7 +68,7 @@
 	sent        atomic.Int64
 }
 
-func (d *crashingSender) Send(ctx context.Context, a *forward.Attempt) (forward.Exchange, error) {
+func (d *crashingSender) Send(ctx context.Context, a *forward.Attempt) (forward.Response, error) {
 	d.sent.Add(1)
 	if err := d.errs[a.Upstream.ID]; err != nil {
 		time.Sleep(d.waits[a.Upstream.ID])
@@ -116,7 +116,7 @@
 		"call broken by a live upstream":   {err: closed, foundUp: true},
 		"call that was declined":           {err: &engine.DeclinedError{Status: 503}, unreachable: true},
 		"call that was not sent":           {err: &engine.NotSentError{Reason: "refused"}, unreachable: true},
-		"call to a replaced upstream":      {err: &engine.DeclinedError{Status: 421, Gone: true}, unreachable: true},
+		"call to a replaced upstream":      {err: &engine.DeclinedError{Status: 421, Replaced: true}, unreachable: true},
 		"stream that was declined":         {stream: true, err: &engine.DeclinedError{Status: 503}, unreachable: true},
 	}
 	for name, tc := range cases {
@@ -124,7 +124,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := &crashRecorder{}
 				g.incarnation = 5
-				s := &crashingSender{fakeSender: fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{"b": &lateExchange{from: "b", events: 3}}, reachable: true}, incarnation: tc.incarnation}
+				s := &crashingSender{fakeSender: fakeSender{answers: map[vaneyoke.UpstreamID]forward.Response{"b": &lateExchange{from: "b", events: 3}}, reachable: true}, incarnation: tc.incarnation}
 				s.errs = map[vaneyoke.UpstreamID]error{"a": tc.err}
 				if tc.answer != nil {
 					s.answers["a"] = tc.answer
@@ -151,7 +151,7 @@
 }
 
 // unaryExchange is the answer to a call.
-type unaryExchange struct{ forward.Exchange }
+type unaryExchange struct{ forward.Response }
 
 func (unaryExchange) Head() forward.Head    { return forward.Head{Status: 200} }
 func (unaryExchange) Events() bool          { return false }
@@ -164,7 +164,7 @@
 func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &crashRecorder{}
-		s := &crashingSender{fakeSender: fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{}, waits: map[vaneyoke.UpstreamID]time.Duration{}}}
+		s := &crashingSender{fakeSender: fakeSender{answers: map[vaneyoke.UpstreamID]forward.Response{}, waits: map[vaneyoke.UpstreamID]time.Duration{}}}
 		for id := 'c'; id <= 'z'; id++ {
 			s.answers[vaneyoke.UpstreamID(id)] = &lateExchange{breaks: true, delay: 50 * time.Millisecond}
 			s.unreachable = append(s.unreachable, vaneyoke.UpstreamID(id))
@@ -205,7 +205,7 @@
 // shortens the time that upstreams are given and the time until the node gives up.
 func TestSuspensionShortensTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &crashingSender{fakeSender: fakeSender{reachable: true, waits: map[vaneyoke.UpstreamID]time.Duration{"a": time.Minute}, answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{}}, runState: vaneyoke.RunStateQueued}}
+		s := &crashingSender{fakeSender: fakeSender{reachable: true, waits: map[vaneyoke.UpstreamID]time.Duration{"a": time.Minute}, answers: map[vaneyoke.UpstreamID]forward.Response{"a": &lateExchange{}}, runState: vaneyoke.RunStateQueued}}
 		r := newForwarderWith(s, &crashRecorder{})
 		startedAt := time.Now()
 		session := forwardRequest(t, r, true) // with a deadline of one minute
--- a/shell/relay/limited_test.go
+++ b/shell/relay/limited_test.go
@@ -79,7 +79,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Exchange{vaneyoke.UpstreamID(tc.upstream): &lateExchange{from: tc.upstream, events: 1}}, reachable: true}
+				s := &fakeSender{answers: map[vaneyoke.UpstreamID]forward.Response{vaneyoke.UpstreamID(tc.upstream): &lateExchange{from: tc.upstream, events: 1}}, reachable: true}
 				placer := &limitedPlacer{permits: tc.permits}
 				r := newForwarderWith(s, placer)
 				startedAt := time.Now()
@@ -127,7 +127,7 @@
 	for permits, queries := range map[int]int32{1: 0, 2: 1, 100: 5} { // one permit is for the attempt
 		synctest.Test(t, func(t *testing.T) {
 			s := &countingSender{fakeSender: fakeSender{
-				answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 1}}, reachable: true, runState: vaneyoke.RunStateQueued,
+				answers: map[vaneyoke.UpstreamID]forward.Response{"a": &lateExchange{from: "a", events: 1}}, reachable: true, runState: vaneyoke.RunStateQueued,
 				waits: map[vaneyoke.UpstreamID]time.Duration{"a": 7 * time.Second},
 			}}
 			placer := &limitedPlacer{permits: map[vaneyoke.UpstreamID]int{"a": permits}}
--- a/shell/relay/place.go
+++ b/shell/relay/place.go
@@ -76,7 +76,7 @@
 	holds := make([]bool, len(candidates))
 	var queries sync.WaitGroup
 	for i, upstream := range candidates {
-		queries.Go(func() { holds[i] = s.relay.sender.Holds(ctx, upstream, m.PromptParts) })
+		queries.Go(func() { holds[i] = s.relay.sender.HoldsPrompt(ctx, upstream, m.PromptParts) })
 	}
 	queries.Wait()
 	i := slices.Index(holds, true)
@@ -171,7 +171,7 @@
 	var queries sync.WaitGroup
 	for _, upstream := range upstreams {
 		queries.Go(func() {
-			if report, ok := s.relay.sender.Report(ctx, upstream); ok {
+			if report, ok := s.relay.sender.LoadReport(ctx, upstream); ok {
 				s.relay.placer.Reported(upstream.ID, report)
 			}
 		})
--- a/shell/relay/pushback_test.go
+++ b/shell/relay/pushback_test.go
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &probeCounter{countingSender: countingSender{fakeSender: fakeSender{
-					answers: map[vaneyoke.UpstreamID]forward.Exchange{"a": &lateExchange{from: "a", events: 1}}, reachable: true, runState: vaneyoke.RunStateQueued,
+					answers: map[vaneyoke.UpstreamID]forward.Response{"a": &lateExchange{from: "a", events: 1}}, reachable: true, runState: vaneyoke.RunStateQueued,
 					waits: map[vaneyoke.UpstreamID]time.Duration{"a": 7 * time.Second},
 				}}}
 				r := newForwarderWith(s, &pushbackPlacer{from: time.Now().Add(tc.after)})
--- a/wire/engine/client.go
+++ b/wire/engine/client.go
@@ -84,14 +84,14 @@
 		return newStream(res.Body, base, from), nil
 	case http.StatusNotFound, http.StatusGone:
 		_ = res.Body.Close()
-		return nil, &NoStreamError{}
+		return nil, &StreamNotFoundError{}
 	default:
 		return nil, readFailure(res)
 	}
 }
 
 // Answers reports whether an engine answers a request at all.
-func (c *Client) Answers(ctx context.Context, url string) bool {
+func (c *Client) Reachable(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/", nil)
 	if err != nil {
 		return false
@@ -105,7 +105,7 @@
 }
 
 // Held asks an engine how many of the last ids stand for an unfinished character; an engine that cannot tell answers 0.
-func (c *Client) Held(ctx context.Context, url string, model vaneyoke.ModelID, ids []vaneyoke.TokenID) (vaneyoke.Tokens, error) {
+func (c *Client) IncompleteTokens(ctx context.Context, url string, model vaneyoke.ModelID, ids []vaneyoke.TokenID) (vaneyoke.Tokens, error) {
 	for held := range vaneyoke.Tokens(min(maxHeld, len(ids))) {
 		text, err := c.detokenize(ctx, url, DetokenizeBody{Model: model, Tokens: ids[max(0, len(ids)-contextIDs) : len(ids)-int(held)]})
 		if err != nil || !strings.HasSuffix(text, replacement) {
@@ -215,13 +215,13 @@
 		return nil, &ClosedError{Err: err}
 	}
 	if err != nil {
-		return nil, SendFailure(err)
+		return nil, ClassifySendError(err)
 	}
 	return res, nil
 }
 
 // Generated tells an engine's whole answer from a failure that its status stands for.
-func (a Answer) Generated() error {
+func (a Answer) Err() error {
 	if a.Status == http.StatusOK {
 		return nil
 	}
--- a/wire/engine/failure.go
+++ b/wire/engine/failure.go
@@ -16,8 +16,8 @@
 
 // DeclinedError says that an upstream got the request and did not run it.
 type DeclinedError struct {
-	Status int
-	Gone   bool // whether another upstream has its address
+	Status   int
+	Replaced bool // whether another upstream has its address
 }
 
 // StatusError says that an upstream answered with a status that ends the attempt.
@@ -30,7 +30,7 @@
 }
 
 // NoStreamError says that the engine holds no such stream.
-type NoStreamError struct{}
+type StreamNotFoundError struct{}
 
 // MalformedError says that the engine's answer broke the protocol.
 type MalformedError struct{ Reason string }
@@ -55,7 +55,7 @@
 func (e *RefusedError) Error() string { return fmt.Sprintf("engine refused with status %d", e.Status) }
 
 // Error says that the stream is unknown.
-func (e *NoStreamError) Error() string { return "engine holds no such stream" }
+func (e *StreamNotFoundError) Error() string { return "engine holds no such stream" }
 
 // Error returns the reason.
 func (e *MalformedError) Error() string { return "engine broke its protocol: " + e.Reason }
@@ -67,7 +67,7 @@
 func (e *ClosedError) Unwrap() error { return e.Err }
 
 // SendFailure tells a request that cannot have reached the engine from one that may have.
-func SendFailure(err error) error {
+func ClassifySendError(err error) error {
 	if op, ok := errors.AsType[*net.OpError](err); ok && op.Op == "dial" {
 		return &NotSentError{Reason: op.Err.Error()}
 	}
@@ -77,7 +77,7 @@
 // statusFailure reads an engine's status other than 200.
 func statusFailure(status int, pushback time.Duration, body []byte) error {
 	switch {
-	case TurnsAway(status):
+	case IsPushbackStatus(status):
 		return &NotSentError{Reason: http.StatusText(status), Pushback: pushback}
 	case status >= http.StatusInternalServerError:
 		return &ClosedError{Err: fmt.Errorf("status %d", status)}
--- a/wire/engine/pushback.go
+++ b/wire/engine/pushback.go
@@ -10,7 +10,7 @@
 const headerRetryAfter = "Retry-After"
 
 // TurnsAway reports whether a status says that an upstream takes nothing now.
-func TurnsAway(status int) bool {
+func IsPushbackStatus(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
@@ -18,7 +18,7 @@
 // what it says is no time. It is in seconds, of which there may be a fraction; one that no clock counts to is the longest.
 func Pushback(status int, header http.Header) (pushback time.Duration, ok bool) {
 	text := header.Get(headerRetryAfter)
-	if text == "" || !TurnsAway(status) {
+	if text == "" || !IsPushbackStatus(status) {
 		return 0, true
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
--- a/wire/forward/forward.go
+++ b/wire/forward/forward.go
@@ -23,11 +23,11 @@
 	Repeat      bool // whether an earlier one of the request has reached an upstream
 	Message     *Message
 	Upstream    vaneyoke.Upstream
-	Left        time.Duration // what is left of the caller's time
+	Remaining   time.Duration // what is left of the caller's time
 	Workspace   vaneyoke.WorkspaceID
 	Priority    int
 	Stream      bool              // whether the answer is a series of numbered events
-	After       string            // id of the last event that is held; "" for none
+	LastEventID string            // id of the last event that is held; "" for none
 	Replica     vaneyoke.Upstream // upstream that is to keep a replica of the run's memory; the zero value for none
 	FromReplica bool              // whether the upstream holds a replica of the run that was lost
 }
@@ -37,10 +37,10 @@
 
 // The kinds of message to an upstream.
 const (
-	KindFirst    Kind = iota // the first attempt of a request
-	KindRepeat               // a further one
-	KindQuestion             // something of its own that the node wants to know
-	Kinds                    // how many there are
+	KindFirst  Kind = iota // the first attempt of a request
+	KindRepeat             // a further one
+	KindQuery              // something of its own that the node wants to know
+	NumKinds               // how many there are
 )
 
 // String names the kind as it stands in metrics.
@@ -66,17 +66,17 @@
 // Listener learns what goes to upstreams, and what they say of themselves beside their answers.
 type Listener interface {
 	// Sending notes that something goes to an upstream.
-	Sending(upstream vaneyoke.Upstream, kind Kind)
+	RecordSent(upstream vaneyoke.Upstream, kind Kind)
 	// Answered notes what an upstream said of itself in its answer to something that was sent at a time.
-	Answered(upstream vaneyoke.Upstream, signals Signals, sentAt time.Time)
+	RecordSignals(upstream vaneyoke.Upstream, signals Signals, sentAt time.Time)
 }
 
 // Signals is what an upstream says of itself in the head of an answer.
 type Signals struct {
-	Limit      *vaneyoke.Limit // that it names, the zero value where it names none; nil where the answer says nothing of limits
-	Pushback   time.Duration   // for which it wants nothing more from this node; 0 where it does not say
-	Leaving    bool            // whether it is about to end
-	Unreadable string          // name of a header whose value means nothing; "" for none
+	Limit         *vaneyoke.Limit // that it names, the zero value where it names none; nil where the answer says nothing of limits
+	Pushback      time.Duration   // for which it wants nothing more from this node; 0 where it does not say
+	Leaving       bool            // whether it is about to end
+	InvalidHeader string          // name of a header whose value means nothing; "" for none
 }
 
 // Head is the start of an upstream's answer.
@@ -92,11 +92,11 @@
 }
 
 // Exchange is an upstream's answer as it comes in. Its errors are those of package engine.
-type Exchange interface {
+type Response interface {
 	// Head returns the start of the answer.
 	Head() Head
 	// Events reports whether the answer is a series of events; otherwise Body reads it.
-	Events() bool
+	IsEventStream() bool
 	// Next returns the next whole event, or io.EOF at the end of an answer that is complete.
 	Next() (Event, error)
 	// Body returns the whole body.
@@ -107,14 +107,14 @@
 
 // Sender sends attempts; the errors of Send are those of package engine.
 type Sender interface {
-	Send(ctx context.Context, attempt *Attempt) (Exchange, error)
+	Send(ctx context.Context, attempt *Attempt) (Response, error)
 	// Report returns what an upstream tells of its work; ok is false where it does not say.
-	Report(ctx context.Context, upstream vaneyoke.Upstream) (report vaneyoke.LoadReport, ok bool)
+	LoadReport(ctx context.Context, upstream vaneyoke.Upstream) (report vaneyoke.LoadReport, ok bool)
 	// Work returns what an upstream does for a request, as of a short while ago, and how many pieces of its answer it has
 	// made.
-	Work(ctx context.Context, upstream vaneyoke.Upstream, request vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens)
+	RunState(ctx context.Context, upstream vaneyoke.Upstream, request vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens)
 	// Holds reports whether an upstream keeps all parts of a prompt, so that it need not be read again there.
-	Holds(ctx context.Context, upstream vaneyoke.Upstream, parts []string) bool
+	HoldsPrompt(ctx context.Context, upstream vaneyoke.Upstream, parts []string) bool
 	// Identity returns the id of the upstream that has an address, by what it answers on its health path; ok is false where it
 	// does not say.
 	Identity(ctx context.Context, address vaneyoke.Upstream, healthPath string) (id vaneyoke.UpstreamID, ok bool)
--- a/wire/peer/convert.go
+++ b/wire/peer/convert.go
@@ -105,10 +105,10 @@
 }
 
 // WireDelta returns a delta in the form in which it is pushed.
-func WireDelta(d journal.Delta) *peerpb.Delta { return deltaToWire(d) }
+func DeltaToWire(d journal.Delta) *peerpb.Delta { return deltaToWire(d) }
 
 // ReadDelta reads a delta that was pushed; one that cannot be read is empty.
-func ReadDelta(raw []byte) journal.Delta {
+func ParseDelta(raw []byte) journal.Delta {
 	var wire peerpb.Delta
 	if err := proto.Unmarshal(raw, &wire); err != nil {
 		return journal.Delta{}
--- a/wire/peer/fuzz_test.go
+++ b/wire/peer/fuzz_test.go
@@ -27,7 +27,7 @@
 	f.Fuzz(func(_ *testing.T, raw []byte) {
 		store := journal.New(journal.Config{MaxBytes: 1 << 20, Retention: 1 << 40})
 		for range 2 {
-			store.Push(time.Unix(1000, 0), peer.ReadDelta(raw))
+			store.Push(time.Unix(1000, 0), peer.ParseDelta(raw))
 		}
 	})
 }
--- a/wire/peer/server.go
+++ b/wire/peer/server.go
@@ -21,13 +21,13 @@
 // Sessions gives up the sessions that the node itself owns.
 type Sessions interface {
 	// GiveUp ends a session here and returns it whole for its next owner; a finished one is returned as it is.
-	GiveUp(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool)
+	HandOver(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool)
 }
 
 // Configuration tells which configuration is in force at the node.
 type Configuration interface {
 	// Answer returns the node's revision, and its configuration as JSON where that is wanted and newer than known.
-	Answer(ctx context.Context, known vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte)
+	Confirm(ctx context.Context, known vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte)
 }
 
 // Journals is a journal.Store under a lock.
@@ -126,7 +126,7 @@
 
 // Confirm tells which configuration is in force here.
 func (s *Server) Confirm(ctx context.Context, in *peerpb.ConfirmRequest) (*peerpb.ConfirmReply, error) {
-	revision, snapshot := s.config.Answer(ctx, vaneyoke.Revision(in.GetRevision()), in.GetWantSnapshot())
+	revision, snapshot := s.config.Confirm(ctx, vaneyoke.Revision(in.GetRevision()), in.GetWantSnapshot())
 	return &peerpb.ConfirmReply{Revision: uint64(revision), Snapshot: snapshot}, nil
 }
 
@@ -134,7 +134,7 @@
 func (s *Server) TakeOver(_ context.Context, in *peerpb.TakeOverRequest) (*peerpb.TakeOverReply, error) {
 	take := s.journals.takeOver
 	if in.GetFromOwner() {
-		take = s.sessions.GiveUp
+		take = s.sessions.HandOver
 	}
 	d, ok := take(keyOf(in.GetKey()), nodeOf(in.GetOwner()))
 	if !ok {
--- a/wire/store/aws/table.go
+++ b/wire/store/aws/table.go
@@ -26,9 +26,9 @@
 
 // Conditions that transactions are made of.
 const (
-	CondAbsent  = "attribute_not_exists(pk)"
-	CondVersion = "ver = :ver"
-	ParamVer    = ":ver"
+	CondAbsent   = "attribute_not_exists(pk)"
+	CondVersion  = "ver = :ver"
+	ParamVersion = ":ver"
 	// ReasonCondition is the cancellation reason of a condition that did not hold.
 	ReasonCondition = "ConditionalCheckFailed"
 )
@@ -113,7 +113,7 @@
 	if c.Version == 0 {
 		return aws.String(CondAbsent), nil
 	}
-	return aws.String(CondVersion), item{ParamVer: number(c.Version)}
+	return aws.String(CondVersion), item{ParamVersion: number(c.Version)}
 }
 
 // commitFailure tells a refused transaction and one that was never carried out from one whose outcome is unknown.
--- a/wire/store/contract/contract_test.go
+++ b/wire/store/contract/contract_test.go
@@ -170,7 +170,7 @@
 func TestPlatformFaults(t *testing.T) {
 	insert := store.Tx{Nonce: "n", Writes: []store.Write{put("a", "x", store.IfAbsent())}}
 	commit := func(ctx context.Context, s subject) error { return s.table.Commit(ctx, insert) }
-	settled := func(ctx context.Context, s subject) error { return store.CommitSettled(ctx, s.table, insert) }
+	settled := func(ctx context.Context, s subject) error { return store.CommitWithRetry(ctx, s.table, insert) }
 	cases := map[string]struct {
 		fault   func(*standin.Platform)
 		act     func(context.Context, subject) error
--- a/wire/store/settle.go
+++ b/wire/store/settle.go
@@ -11,7 +11,7 @@
 
 // CommitSettled commits a transaction and, where the reply is lost, sends it again under the same nonce until the outcome is known.
 // An error with CodeStoreUnknown means that it is still not known.
-func CommitSettled(ctx context.Context, table Table, tx Tx) error {
+func CommitWithRetry(ctx context.Context, table Table, tx Tx) error {
 	var err error
 	for range settleTries {
 		err = table.Commit(ctx, tx)
