--- a/shell/catalog/change.go
+++ b/shell/catalog/change.go
@@ -79,7 +79,7 @@
 		}
 		tx.Writes = append(tx.Writes, write)
 	}
-	return next, store.CommitSettled(ctx, table, tx)
+	return next, store.CommitWithRetry(ctx, table, tx)
 }
 
 // changeLogEntry lists the rows that a revision changed, so that nodes need not read all rows.
--- a/shell/claims/batcher.go
+++ b/shell/claims/batcher.go
@@ -113,5 +113,5 @@
 	}
 	b.calls.Add(1)
 	b.writes.Add(int64(len(batch)))
-	return store.CommitSettled(ctx, b.table, tx)
+	return store.CommitWithRetry(ctx, b.table, tx)
 }
--- a/tools/standin/table.go
+++ b/tools/standin/table.go
@@ -147,7 +147,7 @@
 	if w.ConditionExpression == aws.CondAbsent {
 		return store.IfAbsent()
 	}
-	version, _ := strconv.ParseUint(w.ExpressionAttributeValues[aws.ParamVer].N, 10, 64)
+	version, _ := strconv.ParseUint(w.ExpressionAttributeValues[aws.ParamVersion].N, 10, 64)
 	return store.IfVersion(store.Version(version))
 }
 
--- a/wire/store/aws/client.go
+++ b/wire/store/aws/client.go
@@ -12,11 +12,11 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// Config says where the platform is.
+// Config holds the addresses and credentials of the platform's services.
 type Config struct {
 	TableURL  string
 	ObjectURL string
-	VMsURL    string // address of the list itself
+	VMsURL    string // URL of the JSON list
 	Region    string
 	AccessKey string
 	SecretKey string
@@ -24,7 +24,7 @@
 	Bucket    string // name of the bucket that holds all objects
 }
 
-// Client reaches the platform's three services.
+// Client is a client of the platform's table, object store and list of VMs.
 type Client struct {
 	config  Config
 	table   *dynamodb.Client
@@ -32,11 +32,11 @@
 	http    *http.Client
 
 	vmsMu sync.Mutex
-	vms   []store.VM // the last list
-	etag  string     // of the last list
+	vms   []store.VM // last received list
+	etag  string     // ETag of the last received list
 }
 
-// New returns a client that uses the given HTTP client; retries are left to the caller.
+// New returns a client that uses the given HTTP client. It does not retry.
 func New(config Config, client *http.Client) *Client {
 	keys := credentials.NewStaticCredentialsProvider(config.AccessKey, config.SecretKey, "")
 	table := dynamodb.New(dynamodb.Options{
--- a/wire/store/aws/doc.go
+++ b/wire/store/aws/doc.go
@@ -1,2 +1,2 @@
-// Package aws reaches a platform that speaks DynamoDB's and S3's protocols and lists its VMs as JSON.
+// Package aws implements package store over the protocols of DynamoDB and S3, and a list of VMs in JSON.
 package aws
--- a/wire/store/aws/table.go
+++ b/wire/store/aws/table.go
@@ -15,7 +15,7 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// Names of a row's attributes.
+// Attribute names of a row.
 const (
 	AttrPartition = "pk"
 	AttrID        = "sk"
@@ -24,12 +24,12 @@
 	AttrValue     = "val"
 )
 
-// Conditions that transactions are made of.
+// Condition expressions of transactions, and their parameter.
 const (
-	CondAbsent  = "attribute_not_exists(pk)"
-	CondVersion = "ver = :ver"
-	ParamVer    = ":ver"
-	// ReasonCondition is the cancellation reason of a condition that did not hold.
+	CondAbsent   = "attribute_not_exists(pk)"
+	CondVersion  = "ver = :ver"
+	ParamVersion = ":ver"
+	// ReasonCondition is the cancellation reason for a condition that is not met.
 	ReasonCondition = "ConditionalCheckFailed"
 )
 
@@ -77,14 +77,14 @@
 	return page, nil
 }
 
-// Commit carries out all writes of a transaction or none.
+// Commit applies all writes of a transaction or none.
 func (c *Client) Commit(ctx context.Context, tx store.Tx) error {
 	in := &dynamodb.TransactWriteItemsInput{ClientRequestToken: aws.String(string(tx.Nonce))}
 	for _, w := range tx.Writes {
 		in.TransactItems = append(in.TransactItems, c.writeItem(tx.Nonce, w))
 	}
 	_, err := c.table.TransactWriteItems(ctx, in)
-	return commitFailure(err)
+	return commitError(err)
 }
 
 func (c *Client) writeItem(nonce store.Nonce, w store.Write) types.TransactWriteItem {
@@ -113,11 +113,11 @@
 	if c.Version == 0 {
 		return aws.String(CondAbsent), nil
 	}
-	return aws.String(CondVersion), item{ParamVer: number(c.Version)}
+	return aws.String(CondVersion), item{ParamVersion: number(c.Version)}
 }
 
-// commitFailure tells a refused transaction and one that was never carried out from one whose outcome is unknown.
-func commitFailure(err error) error {
+// commitError maps an error of a commit to a code: the transaction was rejected, was not applied, or its outcome is unknown.
+func commitError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -133,7 +133,7 @@
 	return vaneyoke.WrapErr(vaneyoke.CodeStoreUnknown, err, "commit")
 }
 
-// canceledCode tells a condition that did not hold from a store that was too busy.
+// canceledCode returns CodeStoreRace if a condition was not met, and otherwise CodeStoreDown, for a store that is too busy.
 func canceledCode(err *types.TransactionCanceledException) vaneyoke.Code {
 	for _, reason := range err.CancellationReasons {
 		if aws.ToString(reason.Code) == ReasonCondition {
--- a/wire/store/aws/vms.go
+++ b/wire/store/aws/vms.go
@@ -11,7 +11,7 @@
 
 var _ store.VMs = (*Client)(nil)
 
-// List returns the VMs that the platform knows; a list that has not changed is not sent again.
+// List returns the VMs known to the platform. A list that has not changed since the last call is not transferred again.
 func (c *Client) List(ctx context.Context) ([]store.VM, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.config.VMsURL, nil)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// readVMs takes in a list that has changed.
+// readVMs decodes and stores a changed list.
 func (c *Client) readVMs(res *http.Response) ([]store.VM, error) {
 	var vms []store.VM
 	if err := json.NewDecoder(res.Body).Decode(&vms); err != nil {
--- a/wire/store/settle.go
+++ b/wire/store/commit.go
@@ -6,14 +6,14 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// settleTries bounds how often a transaction is sent again to learn whether it took effect.
-const settleTries = 4
+// maxCommitAttempts limits how often a transaction is sent to learn whether it took effect.
+const maxCommitAttempts = 4
 
-// CommitSettled commits a transaction and, where the reply is lost, sends it again under the same nonce until the outcome is known.
-// An error with CodeStoreUnknown means that it is still not known.
-func CommitSettled(ctx context.Context, table Table, tx Tx) error {
+// CommitWithRetry commits a transaction. If the reply is lost, it sends the transaction again with the same nonce until the
+// outcome is known. An error with CodeStoreUnknown means that the outcome is still unknown.
+func CommitWithRetry(ctx context.Context, table Table, tx Tx) error {
 	var err error
-	for range settleTries {
+	for range maxCommitAttempts {
 		err = table.Commit(ctx, tx)
 		if vaneyoke.CodeOf(err) != vaneyoke.CodeStoreUnknown {
 			return err
--- a/wire/store/contract/contract_test.go
+++ b/wire/store/contract/contract_test.go
@@ -16,16 +16,16 @@
 	"github.com/vaneyoke/vaneyoke/wire/store/memory"
 )
 
-// subject is one implementation, with the faults that it can be given.
-type subject struct {
+// implementation is one implementation of package store, with access to its stand-in server for injecting faults.
+type implementation struct {
 	table   store.Table
 	objects store.Objects
 	vms     store.VMs
 	setVMs  func([]store.VM)
-	remote  *standin.Platform // nil for the one in memory
+	remote  *standin.Platform // nil for package memory
 }
 
-func subjects(t *testing.T) map[string]subject {
+func implementations(t *testing.T) map[string]implementation {
 	inMemory := memory.New()
 	remote, err := standin.NewPlatform("127.0.0.1:0")
 	must.NoError(t, err)
@@ -34,7 +34,7 @@
 		TableURL: remote.URL(), ObjectURL: remote.ObjectURL(), VMsURL: remote.VMsURL(),
 		Region: "local", AccessKey: "a", SecretKey: "b", Table: "t", Bucket: "b",
 	}, &http.Client{Timeout: 5 * time.Second})
-	return map[string]subject{
+	return map[string]implementation{
 		"memory": {table: inMemory, objects: inMemory.Objects(), vms: inMemory, setVMs: inMemory.SetVMs},
 		"aws":    {table: client, objects: client.Objects(), vms: client, setVMs: remote.Memory.SetVMs, remote: remote},
 	}
@@ -46,7 +46,7 @@
 
 func key(id string) store.Key { return store.Key{Partition: "p", ID: id} }
 
-// step is one transaction or read of a case and the code that it must end with.
+// step is one transaction of a case and the expected code.
 type step struct {
 	nonce  store.Nonce
 	writes []store.Write
@@ -56,7 +56,7 @@
 func TestTransactions(t *testing.T) {
 	cases := map[string]struct {
 		steps []step
-		rows  map[string]string // what stands at the end
+		rows  map[string]string // expected rows at the end
 	}{
 		"insert once": {
 			[]step{
@@ -98,7 +98,7 @@
 		},
 	}
 	for name, tc := range cases {
-		for kind, s := range subjects(t) {
+		for kind, s := range implementations(t) {
 			t.Run(kind+"/"+name, func(t *testing.T) {
 				for _, step := range tc.steps {
 					err := s.table.Commit(t.Context(), store.Tx{Nonce: step.nonce, Writes: step.writes})
@@ -116,8 +116,8 @@
 	}
 }
 
-func TestScanGoesThroughPages(t *testing.T) {
-	for kind, s := range subjects(t) {
+func TestScanPagination(t *testing.T) {
+	for kind, s := range implementations(t) {
 		t.Run(kind, func(t *testing.T) {
 			for i := range 7 {
 				id := fmt.Sprintf("r%d", i)
@@ -143,7 +143,7 @@
 }
 
 func TestObjectsAndVMs(t *testing.T) {
-	for kind, s := range subjects(t) {
+	for kind, s := range implementations(t) {
 		t.Run(kind, func(t *testing.T) {
 			must.NoError(t, s.objects.Put(t.Context(), "dir/name", []byte("data")))
 			data, err := s.objects.Get(t.Context(), "dir/name")
@@ -169,24 +169,24 @@
 
 func TestPlatformFaults(t *testing.T) {
 	insert := store.Tx{Nonce: "n", Writes: []store.Write{put("a", "x", store.IfAbsent())}}
-	commit := func(ctx context.Context, s subject) error { return s.table.Commit(ctx, insert) }
-	settled := func(ctx context.Context, s subject) error { return store.CommitSettled(ctx, s.table, insert) }
+	commit := func(ctx context.Context, s implementation) error { return s.table.Commit(ctx, insert) }
+	commitWithRetry := func(ctx context.Context, s implementation) error { return store.CommitWithRetry(ctx, s.table, insert) }
 	cases := map[string]struct {
 		fault   func(*standin.Platform)
-		act     func(context.Context, subject) error
+		act     func(context.Context, implementation) error
 		code    vaneyoke.Code
 		written bool
 	}{
-		"lost reply is unknown":        {func(p *standin.Platform) { p.LoseReplies(1) }, commit, vaneyoke.CodeStoreUnknown, true},
-		"lost reply is settled":        {func(p *standin.Platform) { p.LoseReplies(1) }, settled, vaneyoke.CodeOK, true},
-		"three lost replies":           {func(p *standin.Platform) { p.LoseReplies(3) }, settled, vaneyoke.CodeOK, true},
-		"every reply lost":             {func(p *standin.Platform) { p.LoseReplies(100) }, settled, vaneyoke.CodeStoreUnknown, true},
-		"outage may hide a write":      {func(p *standin.Platform) { p.SetDown(true) }, commit, vaneyoke.CodeStoreUnknown, false},
-		"nothing listens, nothing ran": {func(p *standin.Platform) { _ = p.Close() }, commit, vaneyoke.CodeStoreDown, false},
+		"lost reply has an unknown outcome":  {func(p *standin.Platform) { p.LoseReplies(1) }, commit, vaneyoke.CodeStoreUnknown, true},
+		"lost reply is retried":              {func(p *standin.Platform) { p.LoseReplies(1) }, commitWithRetry, vaneyoke.CodeOK, true},
+		"three lost replies":                 {func(p *standin.Platform) { p.LoseReplies(3) }, commitWithRetry, vaneyoke.CodeOK, true},
+		"every reply lost":                   {func(p *standin.Platform) { p.LoseReplies(100) }, commitWithRetry, vaneyoke.CodeStoreUnknown, true},
+		"outage has an unknown outcome":      {func(p *standin.Platform) { p.SetDown(true) }, commit, vaneyoke.CodeStoreUnknown, false},
+		"refused connection applies nothing": {func(p *standin.Platform) { _ = p.Close() }, commit, vaneyoke.CodeStoreDown, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := subjects(t)["aws"]
+			s := implementations(t)["aws"]
 			tc.fault(s.remote)
 			must.EqOp(t, tc.code, vaneyoke.CodeOf(tc.act(t.Context(), s)))
 			_, err := s.remote.Memory.Get(t.Context(), key("a"))
@@ -194,7 +194,7 @@
 		})
 	}
 	t.Run("the list of VMs lags", func(t *testing.T) {
-		s := subjects(t)["aws"]
+		s := implementations(t)["aws"]
 		s.setVMs([]store.VM{{ID: "old"}})
 		s.remote.SetLag(true)
 		s.setVMs([]store.VM{{ID: "new"}})
--- a/wire/store/contract/doc.go
+++ b/wire/store/contract/doc.go
@@ -1,2 +1,2 @@
-// Package contract holds the tests that every implementation of the platform's interfaces has to pass.
+// Package contract holds the tests that every implementation of package store must pass.
 package contract
--- a/wire/store/doc.go
+++ b/wire/store/doc.go
@@ -1,2 +1,2 @@
-// Package store names what the nodes keep things in: a transactional table, an object store and the list of VMs.
+// Package store defines the storage interfaces of the nodes: a transactional table, an object store and the list of VMs.
 package store
--- a/wire/store/memory/doc.go
+++ b/wire/store/memory/doc.go
@@ -1,2 +1,2 @@
-// Package memory keeps the platform's table, objects and list of VMs in memory, for tests and stand-ins.
+// Package memory implements package store in memory, for tests and stand-ins.
 package memory
--- a/wire/store/memory/memory.go
+++ b/wire/store/memory/memory.go
@@ -10,13 +10,13 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// Platform is a platform in memory; its zero value is not usable.
+// Platform is an in-memory table, object store and list of VMs. Create it with New.
 type Platform struct {
-	mu      sync.Mutex
-	rows    map[string]map[string]store.Row
-	done    map[store.Nonce]error // outcomes of the transactions so far
-	objects map[string][]byte
-	vms     []store.VM
+	mu       sync.Mutex
+	rows     map[string]map[string]store.Row
+	outcomes map[store.Nonce]error // outcomes of all transactions so far
+	objects  map[string][]byte
+	vms      []store.VM
 }
 
 var (
@@ -28,9 +28,9 @@
 // New returns an empty platform.
 func New() *Platform {
 	return &Platform{
-		rows:    map[string]map[string]store.Row{},
-		done:    map[store.Nonce]error{},
-		objects: map[string][]byte{},
+		rows:     map[string]map[string]store.Row{},
+		outcomes: map[store.Nonce]error{},
+		objects:  map[string][]byte{},
 	}
 }
 
@@ -65,18 +65,18 @@
 	return page, nil
 }
 
-// Commit carries out all writes of a transaction or none.
+// Commit applies all writes of a transaction or none.
 func (p *Platform) Commit(_ context.Context, tx store.Tx) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err, ok := p.done[tx.Nonce]; ok {
+	if err, ok := p.outcomes[tx.Nonce]; ok {
 		return err
 	}
 	err := p.check(tx)
 	if err == nil {
 		p.apply(tx)
 	}
-	p.done[tx.Nonce] = err
+	p.outcomes[tx.Nonce] = err
 	return err
 }
 
@@ -140,7 +140,7 @@
 // Objects returns the platform's object store.
 func (p *Platform) Objects() *Objects { return &Objects{platform: p} }
 
-// Objects is an object store in memory.
+// Objects is the in-memory object store.
 type Objects struct{ platform *Platform }
 
 // Put stores an object under a name.
--- a/wire/store/table.go
+++ b/wire/store/table.go
@@ -2,19 +2,19 @@
 
 import "context"
 
-// Key names a row: rows of one partition can be scanned in the order of their ids.
+// Key identifies a row; the rows of one partition can be scanned in the order of their ids.
 type Key struct {
 	Partition string
 	ID        string
 }
 
-// Version counts the writes of a row from 1.
+// Version is the number of writes of a row, starting at 1.
 type Version uint64
 
-// Nonce names a transaction, so that it takes effect once however often it is sent.
+// Nonce identifies a transaction, so that it takes effect once however often it is sent.
 type Nonce string
 
-// Row is one row as it was read.
+// Row is a row as read.
 type Row struct {
 	Key     Key
 	Version Version
@@ -22,19 +22,19 @@
 	Value   []byte
 }
 
-// Page is a part of a scan.
+// Page is one page of a scan.
 type Page struct {
 	Rows []Row
-	Next string // id to go on after, "" on the last page
+	Next string // last id of this page, after which the scan continues; "" on the last page
 }
 
-// Table is the transactional table service; its errors carry CodeStoreDown, CodeStoreRace, CodeStoreUnknown or CodeNotFound.
+// Table is a transactional table; its errors carry CodeStoreDown, CodeStoreRace, CodeStoreUnknown or CodeNotFound.
 type Table interface {
 	// Get returns the newest committed row.
 	Get(ctx context.Context, key Key) (Row, error)
 	// Scan returns up to limit rows of a partition whose ids come after the given one.
 	Scan(ctx context.Context, partition, after string, limit int) (Page, error)
-	// Commit carries out all writes of a transaction or none; sent again with the same nonce it answers as the first time.
+	// Commit applies all writes of a transaction or none. Sent again with the same nonce, it returns the first outcome.
 	Commit(ctx context.Context, tx Tx) error
 }
 
@@ -44,10 +44,10 @@
 	Writes []Write
 }
 
-// Write is one part of a transaction.
+// Write is one operation of a transaction: Put, Delete or Check.
 type Write interface{ write() }
 
-// Put writes a row whose version is the condition's plus one.
+// Put writes a row; its new version is that of the condition plus one.
 type Put struct {
 	Key   Key
 	Value []byte
@@ -70,11 +70,11 @@
 func (Delete) write() {}
 func (Check) write()  {}
 
-// Condition is the version that a row must have; 0 stands for a row that must not exist.
+// Condition is the version that a row must have; with version 0 the row must not exist.
 type Condition struct{ Version Version }
 
-// IfAbsent demands that the row does not exist.
+// IfAbsent requires that the row does not exist.
 func IfAbsent() Condition { return Condition{} }
 
-// IfVersion demands that the row has the given version.
+// IfVersion requires that the row has the given version.
 func IfVersion(v Version) Condition { return Condition{Version: v} }
