--- a/shell/failover/manager.go
+++ b/shell/failover/manager.go
@@ -197,8 +197,8 @@
 	s.changed.Broadcast()
 }
 
-// GiveUp ends a session here and returns it whole for its next owner; a finished one is returned as it is.
-func (m *Manager) GiveUp(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool) {
+// HandOver ends a session on this node and returns its whole state for the next owner; a finished one is returned unchanged.
+func (m *Manager) HandOver(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool) {
 	s := m.find(key)
 	if s == nil {
 		return journal.Delta{}, false
--- a/tools/measure/core.go
+++ b/tools/measure/core.go
@@ -194,7 +194,7 @@
 	for _, sessions := range []int{10, 100, 1000} {
 		size := 0
 		for i := range sessions {
-			size += proto.Size(peer.WireDelta(delta(i+1, 100, tokensEachPush)))
+			size += proto.Size(peer.DeltaToWire(delta(i+1, 100, tokensEachPush)))
 		}
 		s.Points = append(s.Points, Point{X: float64(sessions * tokensEachPush), Y: float64(size)})
 	}
@@ -210,9 +210,9 @@
 		before := processorTime()
 		for push := range 5 {
 			for i := range sessions {
-				raw, err := proto.Marshal(peer.WireDelta(delta(i, tokensEachPush*push, tokensEachPush)))
+				raw, err := proto.Marshal(peer.DeltaToWire(delta(i, tokensEachPush*push, tokensEachPush)))
 				if err == nil {
-					store.Push(now, peer.ReadDelta(raw))
+					store.Push(now, peer.ParseDelta(raw))
 				}
 			}
 		}
--- a/wire/peer/client.go
+++ b/wire/peer/client.go
@@ -20,11 +20,11 @@
 
 const (
 	bearer = "Bearer "
-	// suspectFor is how long a peer that did not answer is left alone.
-	suspectFor = time.Second
+	// suspectTime is how long a peer that did not answer gets no further calls.
+	suspectTime = time.Second
 )
 
-// Client calls other nodes; calls to the own node go straight to its journals.
+// Client calls other nodes; calls to this node go directly to its journals.
 type Client struct {
 	self     vaneyoke.NodeID
 	journals *Journals
@@ -35,10 +35,10 @@
 
 	mu       sync.Mutex
 	peers    map[string]peerpb.Peer // by address
-	suspects map[string]time.Time   // by address, until when
+	suspects map[string]time.Time   // by address: no calls until then
 }
 
-// NewClient returns a client that shows the given key and waits for an answer no longer than timeout.
+// NewClient returns a client that authenticates with the given key and limits each call to timeout.
 func NewClient(self vaneyoke.NodeID, journals *Journals, client *http.Client, key string, timeout time.Duration, tracer trace.Tracer) *Client {
 	return &Client{
 		self: self, journals: journals, http: client, key: key, timeout: timeout, tracer: tracer,
@@ -46,7 +46,7 @@
 	}
 }
 
-// Open reserves a key at a peer for an owner, or returns who owns it.
+// Open registers an owner of a key at a peer, or returns the entry of the existing owner.
 func (c *Client) Open(ctx context.Context, p membership.Peer, key journal.Key, entry journal.Entry) (journal.Entry, bool, error) {
 	if p.VM == c.self.VM {
 		existing, found := c.journals.open(key, entry)
@@ -57,10 +57,10 @@
 	if err != nil || out.GetExisting() == nil {
 		return journal.Entry{}, false, err
 	}
-	return entryOf(out.GetExisting()), true, nil
+	return entryFromWire(out.GetExisting()), true, nil
 }
 
-// Push adds deltas to the journals that a peer keeps.
+// Push appends deltas to the journals at a peer.
 func (c *Client) Push(ctx context.Context, p membership.Peer, deltas []journal.Delta) ([]journal.PushOutcome, error) {
 	if p.VM == c.self.VM {
 		return c.journals.push(deltas), nil
@@ -76,7 +76,7 @@
 	return lo.Map(out.GetStates(), func(s peerpb.PushState, _ int) journal.PushOutcome { return journal.PushOutcome(s) }), nil
 }
 
-// TakeOver makes owner the owner of a session, and returns what the peer holds of it as its owner or in a journal.
+// TakeOver transfers a session to a new owner, and returns the state that the peer holds as its owner or in a journal.
 func (c *Client) TakeOver(ctx context.Context, p membership.Peer, key journal.Key, owner vaneyoke.NodeID, fromOwner bool) (journal.Delta, bool, error) {
 	if p.VM == c.self.VM {
 		if fromOwner {
@@ -90,10 +90,10 @@
 	if err != nil || !out.GetFound() {
 		return journal.Delta{}, false, err
 	}
-	return deltaOf(out.GetSession(), c.self), true, nil
+	return deltaFromWire(out.GetSession(), c.self), true, nil
 }
 
-// Confirm returns a peer's revision, and its configuration as JSON where that is wanted and newer.
+// Confirm returns a peer's revision, and its configuration as JSON if that is wanted and newer.
 func (c *Client) Confirm(ctx context.Context, p membership.Peer, revision vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte, error) {
 	in := &peerpb.ConfirmRequest{Revision: uint64(revision), WantSnapshot: want}
 	out, err := call(ctx, c, p, peerpb.Peer.Confirm, in)
@@ -103,9 +103,9 @@
 	return vaneyoke.Revision(out.GetRevision()), out.GetSnapshot(), nil
 }
 
-// call makes one call within the client's timeout; a peer that does not answer is left alone for a while.
+// call makes one call within the client's timeout. A peer that does not answer gets no calls for suspectTime.
 func call[In, Out any](ctx context.Context, c *Client, p membership.Peer, method func(peerpb.Peer, context.Context, *In) (*Out, error), in *In) (*Out, error) {
-	if c.suspected(time.Now(), p.Address) {
+	if c.isSuspect(time.Now(), p.Address) {
 		return nil, vaneyoke.Err(vaneyoke.CodeNotFresh, "peer %s did not answer a moment ago", p.VM)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -120,7 +120,7 @@
 	}
 	out, err := method(c.peer(p.Address), ctx, in)
 	if err != nil {
-		c.suspect(time.Now(), p.Address)
+		c.markSuspect(time.Now(), p.Address)
 		return nil, vaneyoke.WrapErr(vaneyoke.CodeNotFresh, err, "peer %s", p.VM)
 	}
 	return out, nil
@@ -137,14 +137,14 @@
 	return p
 }
 
-func (c *Client) suspected(now time.Time, address string) bool {
+func (c *Client) isSuspect(now time.Time, address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.suspects[address])
 }
 
-func (c *Client) suspect(now time.Time, address string) {
+func (c *Client) markSuspect(now time.Time, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.suspects[address] = now.Add(suspectFor)
+	c.suspects[address] = now.Add(suspectTime)
 }
--- a/wire/peer/convert.go
+++ b/wire/peer/convert.go
@@ -13,7 +13,7 @@
 	return &peerpb.Key{Workspace: string(k.Workspace), Key: k.Key}
 }
 
-func keyOf(k *peerpb.Key) journal.Key {
+func keyFromWire(k *peerpb.Key) journal.Key {
 	return journal.Key{Workspace: vaneyoke.WorkspaceID(k.GetWorkspace()), Key: k.GetKey()}
 }
 
@@ -21,7 +21,7 @@
 	return &peerpb.Node{Vm: string(n.VM), Incarnation: uint64(n.Incarnation)}
 }
 
-func nodeOf(n *peerpb.Node) vaneyoke.NodeID {
+func nodeFromWire(n *peerpb.Node) vaneyoke.NodeID {
 	return vaneyoke.NodeID{VM: vaneyoke.VMID(n.GetVm()), Incarnation: vaneyoke.Incarnation(n.GetIncarnation())}
 }
 
@@ -35,10 +35,10 @@
 	}
 }
 
-func entryOf(e *peerpb.Entry) journal.Entry {
+func entryFromWire(e *peerpb.Entry) journal.Entry {
 	return journal.Entry{
 		Request:    vaneyoke.RequestID(e.GetRequest()),
-		Owner:      nodeOf(e.GetOwner()),
+		Owner:      nodeFromWire(e.GetOwner()),
 		Epoch:      journal.Epoch(e.GetEpoch()),
 		BodyDigest: string(e.GetBodyDigest()),
 		Backup:     vaneyoke.VMID(e.GetBackup()),
@@ -69,22 +69,22 @@
 	return wire
 }
 
-func deltaOf(w *peerpb.Delta, sender vaneyoke.NodeID) journal.Delta {
+func deltaFromWire(wire *peerpb.Delta, sender vaneyoke.NodeID) journal.Delta {
 	d := journal.Delta{
-		Handle:   journal.Handle{Owner: sender, Number: w.GetHandle()},
-		From:     vaneyoke.Tokens(max(w.GetFrom(), 0)),
-		TextFrom: int(max(w.GetTextFrom(), 0)),
-		IDs:      idsOf(w.GetIds()),
-		Text:     w.GetText(),
-		Prompt:   idsOf(w.GetPrompt()),
+		Handle:   journal.Handle{Owner: sender, Number: wire.GetHandle()},
+		From:     vaneyoke.Tokens(max(wire.GetFrom(), 0)),
+		TextFrom: int(max(wire.GetTextFrom(), 0)),
+		IDs:      idsFromWire(wire.GetIds()),
+		Text:     wire.GetText(),
+		Prompt:   idsFromWire(wire.GetPrompt()),
 	}
-	if w.GetKey() != nil {
-		d.Key, d.Entry = keyOf(w.GetKey()), entryOf(w.GetEntry())
+	if wire.GetKey() != nil {
+		d.Key, d.Entry = keyFromWire(wire.GetKey()), entryFromWire(wire.GetEntry())
 	}
-	if s := w.GetStream(); s != nil {
+	if s := wire.GetStream(); s != nil {
 		d.Stream = &journal.Stream{Name: s.GetName(), Upstream: vaneyoke.UpstreamID(s.GetUpstream()), Base: vaneyoke.Tokens(s.GetBase())}
 	}
-	if r := w.GetResult(); r != nil {
+	if r := wire.GetResult(); r != nil {
 		d.Result = &journal.Result{
 			Code: vaneyoke.Code(r.GetCode()), Detail: r.GetDetail(), Reason: vaneyoke.FinishReason(r.GetReason()),
 			Status: int(r.GetStatus()), MediaType: r.GetMediaType(), Body: r.GetBody(),
@@ -97,21 +97,21 @@
 	return lo.Map(ids, func(id vaneyoke.TokenID, _ int) int32 { return int32(id) })
 }
 
-func idsOf(ids []int32) []vaneyoke.TokenID {
+func idsFromWire(ids []int32) []vaneyoke.TokenID {
 	if len(ids) == 0 {
 		return nil
 	}
 	return lo.Map(ids, func(id int32, _ int) vaneyoke.TokenID { return vaneyoke.TokenID(id) })
 }
 
-// WireDelta returns a delta in the form in which it is pushed.
-func WireDelta(d journal.Delta) *peerpb.Delta { return deltaToWire(d) }
+// DeltaToWire returns the protobuf message of a delta.
+func DeltaToWire(d journal.Delta) *peerpb.Delta { return deltaToWire(d) }
 
-// ReadDelta reads a delta that was pushed; one that cannot be read is empty.
-func ReadDelta(raw []byte) journal.Delta {
+// ParseDelta decodes a pushed delta. It returns an empty delta if raw is malformed.
+func ParseDelta(raw []byte) journal.Delta {
 	var wire peerpb.Delta
 	if err := proto.Unmarshal(raw, &wire); err != nil {
 		return journal.Delta{}
 	}
-	return deltaOf(&wire, vaneyoke.NodeID{})
+	return deltaFromWire(&wire, vaneyoke.NodeID{})
 }
--- a/wire/peer/doc.go
+++ b/wire/peer/doc.go
@@ -1,2 +1,2 @@
-// Package peer is the interface between the nodes of a fleet: it carries journals and hands sessions over.
+// Package peer is the API between the nodes of a fleet: it replicates journals, hands over sessions and confirms revisions.
 package peer
--- a/wire/peer/fuzz_test.go
+++ b/wire/peer/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/vaneyoke/vaneyoke/wire/peer/peerpb"
 )
 
-// FuzzDeltas reads any bytes as a delta that a node pushes, and keeps it beside one that is well formed.
+// FuzzDeltas pushes a delta decoded from arbitrary bytes to a journal store twice.
 func FuzzDeltas(f *testing.F) {
 	key := &peerpb.Key{Workspace: "w", Key: "k"}
 	for _, d := range []*peerpb.Delta{
@@ -27,7 +27,7 @@
 	f.Fuzz(func(_ *testing.T, raw []byte) {
 		store := journal.New(journal.Config{MaxBytes: 1 << 20, Retention: 1 << 40})
 		for range 2 {
-			store.Push(time.Unix(1000, 0), peer.ReadDelta(raw))
+			store.Push(time.Unix(1000, 0), peer.ParseDelta(raw))
 		}
 	})
 }
--- a/wire/peer/server.go
+++ b/wire/peer/server.go
@@ -18,25 +18,25 @@
 	"github.com/vaneyoke/vaneyoke/wire/peer/peerpb"
 )
 
-// Sessions gives up the sessions that the node itself owns.
+// Sessions hands over the sessions that this node owns.
 type Sessions interface {
-	// GiveUp ends a session here and returns it whole for its next owner; a finished one is returned as it is.
-	GiveUp(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool)
+	// HandOver ends a session on this node and returns its whole state for the next owner; a finished one is returned unchanged.
+	HandOver(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool)
 }
 
-// Configuration tells which configuration is in force at the node.
+// Configuration provides the node's active configuration.
 type Configuration interface {
-	// Answer returns the node's revision, and its configuration as JSON where that is wanted and newer than known.
-	Answer(ctx context.Context, known vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte)
+	// Confirm returns the node's revision, and its configuration as JSON if that is wanted and newer than known.
+	Confirm(ctx context.Context, known vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte)
 }
 
-// Journals is a journal.Store under a lock.
+// Journals is a journal.Store that is safe for concurrent use.
 type Journals struct {
 	mu    sync.Mutex
 	store *journal.Store
 }
 
-// NewJournals returns journals in the given store.
+// NewJournals returns Journals over the given store.
 func NewJournals(store *journal.Store) *Journals { return &Journals{store: store} }
 
 func (j *Journals) open(key journal.Key, entry journal.Entry) (journal.Entry, bool) {
@@ -58,7 +58,7 @@
 	return j.store.TakeOver(time.Now(), key, owner)
 }
 
-// Bytes returns the estimated memory of the journals.
+// Bytes returns the estimated memory use of the journals.
 func (j *Journals) Bytes() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -72,7 +72,7 @@
 	return j.store.Len()
 }
 
-// Server answers the other nodes.
+// Server implements the peer API.
 type Server struct {
 	journals *Journals
 	sessions Sessions
@@ -81,7 +81,7 @@
 
 var _ peerpb.Peer = (*Server)(nil)
 
-// Handler returns the HTTP handler of the peer API, open to holders of one of the keys.
+// Handler returns the HTTP handler of the peer API, which accepts any of the given keys.
 func Handler(journals *Journals, sessions Sessions, config Configuration, keys []string, tracer trace.Tracer) http.Handler {
 	api := peerpb.NewPeerServer(&Server{journals: journals, sessions: sessions, config: config})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -97,46 +97,46 @@
 }
 
 func authorized(r *http.Request, keys []string) bool {
-	shown := strings.TrimPrefix(r.Header.Get("Authorization"), bearer)
-	good := false
+	presented := strings.TrimPrefix(r.Header.Get("Authorization"), bearer)
+	valid := false
 	for _, key := range keys {
-		good = subtle.ConstantTimeCompare([]byte(shown), []byte(key)) == 1 || good
+		valid = subtle.ConstantTimeCompare([]byte(presented), []byte(key)) == 1 || valid
 	}
-	return good
+	return valid
 }
 
-// Open reserves a caller's key for an owner, or tells who owns it.
+// Open registers an owner of a caller's key, or returns the entry of the existing owner.
 func (s *Server) Open(_ context.Context, in *peerpb.OpenRequest) (*peerpb.OpenReply, error) {
-	existing, found := s.journals.open(keyOf(in.GetKey()), entryOf(in.GetEntry()))
+	existing, found := s.journals.open(keyFromWire(in.GetKey()), entryFromWire(in.GetEntry()))
 	if !found {
 		return &peerpb.OpenReply{}, nil
 	}
 	return &peerpb.OpenReply{Existing: entryToWire(existing)}, nil
 }
 
-// Push adds to the journals that this node keeps for others.
+// Push appends deltas to the journals that this node holds for others.
 func (s *Server) Push(_ context.Context, in *peerpb.PushRequest) (*peerpb.PushReply, error) {
-	sender := nodeOf(in.GetSender())
-	deltas := lo.Map(in.GetDeltas(), func(d *peerpb.Delta, _ int) journal.Delta { return deltaOf(d, sender) })
+	sender := nodeFromWire(in.GetSender())
+	deltas := lo.Map(in.GetDeltas(), func(d *peerpb.Delta, _ int) journal.Delta { return deltaFromWire(d, sender) })
 	states := s.journals.push(deltas)
 	return &peerpb.PushReply{States: lo.Map(states, func(p journal.PushOutcome, _ int) peerpb.PushState {
 		return peerpb.PushState(p)
 	})}, nil
 }
 
-// Confirm tells which configuration is in force here.
+// Confirm returns the revision of this node's active configuration.
 func (s *Server) Confirm(ctx context.Context, in *peerpb.ConfirmRequest) (*peerpb.ConfirmReply, error) {
-	revision, snapshot := s.config.Answer(ctx, vaneyoke.Revision(in.GetRevision()), in.GetWantSnapshot())
+	revision, snapshot := s.config.Confirm(ctx, vaneyoke.Revision(in.GetRevision()), in.GetWantSnapshot())
 	return &peerpb.ConfirmReply{Revision: uint64(revision), Snapshot: snapshot}, nil
 }
 
-// TakeOver makes the sender the owner of a session.
+// TakeOver transfers a session to the owner in the request.
 func (s *Server) TakeOver(_ context.Context, in *peerpb.TakeOverRequest) (*peerpb.TakeOverReply, error) {
 	take := s.journals.takeOver
 	if in.GetFromOwner() {
-		take = s.sessions.GiveUp
+		take = s.sessions.HandOver
 	}
-	d, ok := take(keyOf(in.GetKey()), nodeOf(in.GetOwner()))
+	d, ok := take(keyFromWire(in.GetKey()), nodeFromWire(in.GetOwner()))
 	if !ok {
 		return &peerpb.TakeOverReply{}, nil
 	}
