--- a/api/operatorapi/api.go
+++ b/api/operatorapi/api.go
@@ -19,31 +19,31 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// acceptWait is how long a change may take to be in force at a majority of the nodes.
-const acceptWait = 3 * time.Second
+// acceptTimeout is how long a change may take to become active on a majority of the nodes.
+const acceptTimeout = 3 * time.Second
 
-// Loads tells what the node sees of each upstream.
-type Loads interface {
+// LoadSource provides the load of each upstream as this node sees it.
+type LoadSource interface {
 	Loads() []placement.Load
 }
 
-// API serves operators.
+// API is the operator API.
 type API struct {
 	table    store.Table
 	follower *catalog.Follower
-	loads    Loads
+	loads    LoadSource
 	log      logrus.FieldLogger
 }
 
 // New returns an API.
-func New(table store.Table, follower *catalog.Follower, loads Loads, log logrus.FieldLogger) *API {
+func New(table store.Table, follower *catalog.Follower, loads LoadSource, log logrus.FieldLogger) *API {
 	return &API{table: table, follower: follower, loads: loads, log: log}
 }
 
-// Register adds the API's routes to mux.
+// Register adds the API's operations to mux.
 func (a *API) Register(mux *http.ServeMux) {
 	config := huma.DefaultConfig("vaneyoke administration", "1")
-	config.CreateHooks = nil // keeps schema links out of the answers
+	config.CreateHooks = nil // no schema links in responses
 	api := humago.New(mux, config)
 	a.registerPolicies(api)
 	a.registerUpstreams(api)
@@ -51,55 +51,56 @@
 	a.registerFleet(api)
 }
 
-// Caller is who asks, and what every question has.
-type Caller struct {
+// AuthInput holds the header that every request has.
+type AuthInput struct {
 	Authorization string `header:"Authorization" doc:"Bearer key with the role viewer, operator or administrator."`
 }
 
-// Changer is who changes something.
-type Changer struct {
-	Caller
-	IfMatch string `header:"If-Match" doc:"Version of what is changed, as its ETag tells it; empty for something new."`
-	Once    string `header:"Idempotency-Key" maxLength:"200" doc:"Own key of the change, so that it is made once however often it is sent."`
+// ChangeInput holds the headers of every request that changes something.
+type ChangeInput struct {
+	AuthInput
+	IfMatch        string `header:"If-Match" doc:"Version of what is changed, as its ETag tells it; empty for something new."`
+	IdempotencyKey string `header:"Idempotency-Key" maxLength:"200" doc:"Own key of the change, so that it is made once however often it is sent."`
 }
 
-// ranks orders the roles by what they allow.
-var ranks = []vaneyoke.Role{vaneyoke.RoleCaller, vaneyoke.RoleViewer, vaneyoke.RoleOperator, vaneyoke.RoleAdministrator}
+// roleOrder lists the roles from the fewest rights to the most.
+var roleOrder = []vaneyoke.Role{vaneyoke.RoleCaller, vaneyoke.RoleViewer, vaneyoke.RoleOperator, vaneyoke.RoleAdministrator}
 
-// allow returns whom the key speaks for, if its role suffices.
-func (a *API) allow(c Caller, least vaneyoke.Role) (catalog.Principal, error) {
+// authorize returns the principal of the caller's key if it has at least the required role.
+func (a *API) authorize(c AuthInput, required vaneyoke.Role) (catalog.Principal, error) {
 	key, ok := strings.CutPrefix(c.Authorization, "Bearer ")
 	if !ok || key == "" {
 		return catalog.Principal{}, vaneyoke.Err(vaneyoke.CodeNoKey, "the Authorization header holds no bearer key")
 	}
-	holder, ok := a.follower.Current().Principal(key)
+	principal, ok := a.follower.Current().Principal(key)
 	if !ok {
 		return catalog.Principal{}, vaneyoke.Err(vaneyoke.CodeUnknownKey, "the bearer key is unknown or revoked")
 	}
-	if slices.Index(ranks, holder.Role) < slices.Index(ranks, least) {
-		return catalog.Principal{}, vaneyoke.Err(vaneyoke.CodeForbidden, "the role %s does not allow this, %s does", holder.Role, least)
+	if slices.Index(roleOrder, principal.Role) < slices.Index(roleOrder, required) {
+		return catalog.Principal{}, vaneyoke.Err(vaneyoke.CodeForbidden, "the role %s does not allow this, %s does", principal.Role, required)
 	}
-	return holder, nil
+	return principal, nil
 }
 
-// within returns an error where an operator's rights do not reach all of the named workspaces; nil names every workspace.
-func within(holder catalog.Principal, workspaces []string) error {
-	if holder.Scope == nil {
+// checkScope returns an error if the principal's rights do not cover all of the given workspaces; an empty
+// list stands for every workspace.
+func checkScope(principal catalog.Principal, workspaces []string) error {
+	if principal.Scope == nil {
 		return nil
 	}
 	if len(workspaces) == 0 {
-		return vaneyoke.Err(vaneyoke.CodeForbidden, "the key's rights are bound to %v, and this concerns every workspace", holder.Scope)
+		return vaneyoke.Err(vaneyoke.CodeForbidden, "the key's rights are bound to %v, and this concerns every workspace", principal.Scope)
 	}
 	for _, w := range workspaces {
-		if !slices.Contains(holder.Scope, vaneyoke.WorkspaceID(w)) {
+		if !slices.Contains(principal.Scope, vaneyoke.WorkspaceID(w)) {
 			return vaneyoke.Err(vaneyoke.CodeForbidden, "the key's rights do not reach the workspace %s", w)
 		}
 	}
 	return nil
 }
 
-// seen reads the version that a change refers to.
-func (c Changer) seen() (store.Version, error) {
+// expectedVersion parses the If-Match header: the version that the change is based on.
+func (c ChangeInput) expectedVersion() (store.Version, error) {
 	text := strings.Trim(c.IfMatch, `"`)
 	if text == "" {
 		return 0, nil
@@ -115,7 +116,7 @@
 	return `"` + strconv.FormatUint(uint64(version), 10) + `"`
 }
 
-// Accepted tells of a change that a majority of the nodes has in force.
+// Accepted is the response to a change that is active on a majority of the nodes.
 type Accepted struct {
 	ETag string `header:"ETag"`
 	Body struct {
@@ -125,24 +126,24 @@
 	}
 }
 
-// commit makes a change and answers once it is accepted.
-func (a *API) commit(ctx context.Context, holder catalog.Principal, c Changer, action string, change catalog.Change) (*Accepted, error) {
-	note := catalog.AuditInfo{Actor: actor(holder), Action: action, IdempotencyKey: c.Once}
-	revision, err := catalog.ApplyAudited(ctx, a.table, time.Now(), note, change)
+// commit applies a change and returns once it is accepted.
+func (a *API) commit(ctx context.Context, principal catalog.Principal, c ChangeInput, action string, change catalog.Change) (*Accepted, error) {
+	info := catalog.AuditInfo{Actor: actor(principal), Action: action, IdempotencyKey: c.IdempotencyKey}
+	revision, err := catalog.ApplyAudited(ctx, a.table, time.Now(), info, change)
 	if err != nil {
 		return nil, err
 	}
-	a.log.WithFields(logrus.Fields{"actor": note.Actor, "action": action, "policy": uint64(revision)}).Info("configuration_changed")
-	wait, cancel := context.WithTimeout(ctx, acceptWait)
+	a.log.WithFields(logrus.Fields{"actor": info.Actor, "action": action, "policy": uint64(revision)}).Info("configuration_changed")
+	wait, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	have, err := a.follower.AwaitAccepted(wait, revision)
+	revisions, err := a.follower.AwaitAccepted(wait, revision)
 	if err != nil {
 		return nil, err
 	}
 	out := &Accepted{ETag: etag(change.ExpectedVersion + 1)}
 	out.Body.Revision = revision
 	out.Body.Nodes = len(a.follower.Current().Nodes)
-	for _, r := range have {
+	for _, r := range revisions {
 		if r >= revision {
 			out.Body.InForce++
 		}
@@ -150,15 +151,15 @@
 	return out, nil
 }
 
-// actorHashLetters is how much of a key's hash names its holder.
-const actorHashLetters = 8
+// actorHashLength is the length of the key hash's prefix in the name of an actor.
+const actorHashLength = 8
 
-// actor names the holder of a key without telling the key.
-func actor(h catalog.Principal) string {
-	return string(h.Workspace) + "/" + string(h.Role) + "/" + string(h.Hash[:actorHashLetters])
+// actor returns a name for the holder of a key that does not reveal the key.
+func actor(p catalog.Principal) string {
+	return string(p.Workspace) + "/" + string(p.Role) + "/" + string(p.Hash[:actorHashLength])
 }
 
-// register adds an operation whose errors take the form that operators see.
+// register adds an operation whose errors are returned as callerapi.ErrorBody.
 func register[In, Out any](api huma.API, method, path, summary string, handle func(context.Context, *In) (*Out, error)) {
 	id := strings.Trim(strings.NewReplacer("/v1/", "", "/", "-", "{", "", "}", "").Replace(path), "-")
 	operation := huma.Operation{OperationID: strings.ToLower(method) + "-" + id, Method: method, Path: path, Summary: summary}
@@ -171,8 +172,8 @@
 	})
 }
 
-// get returns a row of the configuration and its version.
-func get[T any](ctx context.Context, a *API, partition, id string) (T, store.Version, error) {
+// getRow returns a row of the configuration and its version.
+func getRow[T any](ctx context.Context, a *API, partition, id string) (T, store.Version, error) {
 	var value T
 	row, err := a.table.Get(ctx, store.Key{Partition: partition, ID: id})
 	if err != nil {
--- a/api/operatorapi/doc.go
+++ b/api/operatorapi/doc.go
@@ -1,2 +1,2 @@
-// Package operatorapi is the HTTP interface by which operators administer a fleet.
+// Package operatorapi is the HTTP API with which operators administer a fleet.
 package operatorapi
--- a/api/operatorapi/fleet.go
+++ b/api/operatorapi/fleet.go
@@ -13,10 +13,10 @@
 	"github.com/vaneyoke/vaneyoke/shell/catalog"
 )
 
-// statusWait is how long the nodes may take to tell their revision.
-const statusWait = time.Second
+// statusTimeout is how long the nodes may take to report their revision.
+const statusTimeout = time.Second
 
-// NodeStatus is one node's part of the status.
+// NodeStatus is the status of one node.
 type NodeStatus struct {
 	VM         vaneyoke.VMID         `json:"vm"`
 	DataCentre vaneyoke.DataCentreID `json:"data_centre"`
@@ -45,27 +45,27 @@
 	register(api, http.MethodGet, "/v1/audit", "List who changed what, the oldest first.", a.audit)
 }
 
-func (a *API) status(ctx context.Context, in *Caller) (*statusOutput, error) {
-	if _, err := a.allow(*in, vaneyoke.RoleViewer); err != nil {
+func (a *API) status(ctx context.Context, in *AuthInput) (*statusOutput, error) {
+	if _, err := a.authorize(*in, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, statusWait)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	current := a.follower.Current()
-	_, have := a.follower.ActiveRevisions(ctx, current.Revision)
-	newest := lo.Max(append(lo.Values(have), current.Revision))
+	_, revisions := a.follower.ActiveRevisions(ctx, current.Revision)
+	newest := lo.Max(append(lo.Values(revisions), current.Revision))
 	out := &statusOutput{}
 	out.Body.Revision = current.Revision
 	out.Body.Fresh = a.follower.Fresh(steady.Now())
 	out.Body.Nodes = lo.Map(current.Nodes, func(n catalog.Node, _ int) NodeStatus {
-		revision, reached := have[n.VM]
+		revision, reached := revisions[n.VM]
 		return NodeStatus{VM: n.VM, DataCentre: n.DataCentre, Reached: reached, Revision: revision, Behind: newest - revision}
 	})
 	return out, nil
 }
 
 func (a *API) audit(ctx context.Context, in *pageInput) (*auditOutput, error) {
-	if _, err := a.allow(in.Caller, vaneyoke.RoleViewer); err != nil {
+	if _, err := a.authorize(in.AuthInput, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
 	page, err := a.table.Scan(ctx, catalog.PartitionAudit, in.After, lo.CoalesceOrEmpty(in.Limit, defaultPageRows))
--- a/api/operatorapi/policies.go
+++ b/api/operatorapi/policies.go
@@ -13,21 +13,21 @@
 	"github.com/vaneyoke/vaneyoke/shell/catalog"
 )
 
-type policyName struct {
-	Caller
+type policyRef struct {
+	AuthInput
 	Name string `path:"name"`
 }
 
 type policyInput struct {
-	Changer
+	ChangeInput
 	Name string `path:"name"`
 	Body struct {
 		Text string `json:"text" doc:"The program."`
 	}
 }
 
-type policyRemoval struct {
-	Changer
+type policyDeletion struct {
+	ChangeInput
 	Name string `path:"name"`
 }
 
@@ -44,7 +44,7 @@
 }
 
 type checkInput struct {
-	Caller
+	AuthInput
 	Body struct {
 		Text string `json:"text"`
 	}
@@ -58,7 +58,7 @@
 }
 
 type explainInput struct {
-	Caller
+	AuthInput
 	Body struct {
 		Workspace   string    `json:"workspace"`
 		Kind        string    `json:"kind,omitempty"`
@@ -91,8 +91,8 @@
 	register(api, http.MethodPost, "/v1/explain", "Tell which rule decides for a request.", a.explain)
 }
 
-func (a *API) listPolicies(_ context.Context, in *Caller) (*policyList, error) {
-	if _, err := a.allow(*in, vaneyoke.RoleViewer); err != nil {
+func (a *API) listPolicies(_ context.Context, in *AuthInput) (*policyList, error) {
+	if _, err := a.authorize(*in, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
 	current := a.follower.Current()
@@ -102,16 +102,16 @@
 	return out, nil
 }
 
-func (a *API) getPolicy(ctx context.Context, in *policyName) (*policyOutput, error) {
-	if _, err := a.allow(in.Caller, vaneyoke.RoleViewer); err != nil {
+func (a *API) getPolicy(ctx context.Context, in *policyRef) (*policyOutput, error) {
+	if _, err := a.authorize(in.AuthInput, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
-	p, version, err := get[catalog.Policy](ctx, a, catalog.PartitionPolicies, in.Name)
+	p, version, err := getRow[catalog.Policy](ctx, a, catalog.PartitionPolicies, in.Name)
 	return &policyOutput{ETag: etag(version), Body: p}, err
 }
 
 func (a *API) putPolicy(ctx context.Context, in *policyInput) (*Accepted, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleOperator)
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleOperator)
 	if err != nil {
 		return nil, err
 	}
@@ -122,16 +122,16 @@
 	if len(problems) > 0 {
 		return nil, vaneyoke.ErrField(vaneyoke.CodeBadPolicy, "body.text", "%s", problemText(problems))
 	}
-	if err := within(holder, compiled.Workspaces()); err != nil {
+	if err := checkScope(principal, compiled.Workspaces()); err != nil {
 		return nil, err
 	}
-	seen, err := in.seen()
+	expected, err := in.expectedVersion()
 	if err != nil {
 		return nil, err
 	}
-	value := catalog.Policy{Name: in.Name, Text: in.Body.Text, By: actor(holder), At: time.Now()}
-	change := catalog.Change{Partition: catalog.PartitionPolicies, ID: in.Name, Value: value, ExpectedVersion: seen}
-	return a.commit(ctx, holder, in.Changer, "put policy "+in.Name, change)
+	value := catalog.Policy{Name: in.Name, Text: in.Body.Text, By: actor(principal), At: time.Now()}
+	change := catalog.Change{Partition: catalog.PartitionPolicies, ID: in.Name, Value: value, ExpectedVersion: expected}
+	return a.commit(ctx, principal, in.ChangeInput, "put policy "+in.Name, change)
 }
 
 func problemText(problems []policy.Problem) string {
@@ -140,48 +140,48 @@
 	}, "")
 }
 
-func (a *API) deletePolicy(ctx context.Context, in *policyRemoval) (*Accepted, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleOperator)
+func (a *API) deletePolicy(ctx context.Context, in *policyDeletion) (*Accepted, error) {
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleOperator)
 	if err != nil {
 		return nil, err
 	}
-	p, version, err := get[catalog.Policy](ctx, a, catalog.PartitionPolicies, in.Name)
+	p, version, err := getRow[catalog.Policy](ctx, a, catalog.PartitionPolicies, in.Name)
 	if err != nil {
 		return nil, err
 	}
 	if compiled, _ := policy.Compile([]byte(p.Text)); compiled != nil {
-		if err := within(holder, compiled.Workspaces()); err != nil {
+		if err := checkScope(principal, compiled.Workspaces()); err != nil {
 			return nil, err
 		}
 	}
-	if seen, err := in.seen(); err != nil {
+	if expected, err := in.expectedVersion(); err != nil {
 		return nil, err
-	} else if seen > 0 {
-		version = seen
+	} else if expected > 0 {
+		version = expected
 	}
 	change := catalog.Change{Partition: catalog.PartitionPolicies, ID: in.Name, ExpectedVersion: version}
-	return a.commit(ctx, holder, in.Changer, "withdraw policy "+in.Name, change)
+	return a.commit(ctx, principal, in.ChangeInput, "withdraw policy "+in.Name, change)
 }
 
-// check compiles a program and holds it against the fleet, with the policies that are in force beside it.
+// check compiles a program and checks it against the fleet, together with the other active policies.
 func (a *API) check(text string) (*policy.Policy, []policy.Problem) {
 	compiled, problems := policy.Compile([]byte(text))
 	if compiled == nil {
 		return nil, problems
 	}
 	current := a.follower.Current()
-	beside := []*policy.Policy{compiled}
+	policies := []*policy.Policy{compiled}
 	for _, row := range current.Policies {
 		if other, _ := policy.Compile([]byte(row.Text)); other != nil && other.Name != compiled.Name {
-			beside = append(beside, other)
+			policies = append(policies, other)
 		}
 	}
 	workspaces := lo.Map(current.Workspaces, func(w vaneyoke.Workspace, _ int) vaneyoke.WorkspaceID { return w.ID })
-	return compiled, policy.Check(time.Now(), beside, compiled.Name, current.Upstreams, workspaces)
+	return compiled, policy.Check(time.Now(), policies, compiled.Name, current.Upstreams, workspaces)
 }
 
 func (a *API) checkPolicy(_ context.Context, in *checkInput) (*checkOutput, error) {
-	if _, err := a.allow(in.Caller, vaneyoke.RoleViewer); err != nil {
+	if _, err := a.authorize(in.AuthInput, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
 	_, problems := a.check(in.Body.Text)
@@ -192,7 +192,7 @@
 }
 
 func (a *API) explain(_ context.Context, in *explainInput) (*explainOutput, error) {
-	if _, err := a.allow(in.Caller, vaneyoke.RoleViewer); err != nil {
+	if _, err := a.authorize(in.AuthInput, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
 	at := in.Body.At
--- a/api/operatorapi/upstreams.go
+++ b/api/operatorapi/upstreams.go
@@ -13,12 +13,12 @@
 	"github.com/vaneyoke/vaneyoke/shell/catalog"
 )
 
-// UpstreamLoad is an upstream as one node sees it.
+// UpstreamLoad is an upstream and its load as this node sees it.
 type UpstreamLoad struct {
 	vaneyoke.Upstream
-	InFlight int  `json:"in_flight" doc:"Attempts of the node that answers."`
-	Open     bool `json:"breaker_open" doc:"Whether the node keeps work from it because it fails."`
-	Drained  bool `json:"drained" doc:"Whether a policy drains it now."`
+	InFlight    int  `json:"in_flight" doc:"Attempts of the node that answers."`
+	BreakerOpen bool `json:"breaker_open" doc:"Whether the node keeps work from it because it fails."`
+	Drained     bool `json:"drained" doc:"Whether a policy drains it now."`
 }
 
 type upstreamList struct {
@@ -28,13 +28,13 @@
 }
 
 type upstreamInput struct {
-	Changer
+	ChangeInput
 	ID   vaneyoke.UpstreamID `path:"id"`
 	Body vaneyoke.Upstream
 }
 
-type upstreamName struct {
-	Changer
+type upstreamRef struct {
+	ChangeInput
 	ID vaneyoke.UpstreamID `path:"id"`
 }
 
@@ -46,19 +46,19 @@
 	register(api, http.MethodPost, "/v1/upstreams/{id}/undrain", "Give an upstream new work again.", a.undrain)
 }
 
-func (a *API) listUpstreams(_ context.Context, in *Caller) (*upstreamList, error) {
-	if _, err := a.allow(*in, vaneyoke.RoleViewer); err != nil {
+func (a *API) listUpstreams(_ context.Context, in *AuthInput) (*upstreamList, error) {
+	if _, err := a.authorize(*in, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
 	out := &upstreamList{}
 	out.Body.Upstreams = lo.Map(a.loads.Loads(), func(l placement.Load, _ int) UpstreamLoad {
-		return UpstreamLoad{Upstream: l.Upstream, InFlight: l.InFlight, Open: l.BreakerOpen, Drained: l.Drained}
+		return UpstreamLoad{Upstream: l.Upstream, InFlight: l.InFlight, BreakerOpen: l.BreakerOpen, Drained: l.Drained}
 	})
 	return out, nil
 }
 
 func (a *API) putUpstream(ctx context.Context, in *upstreamInput) (*Accepted, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleAdministrator)
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleAdministrator)
 	if err != nil {
 		return nil, err
 	}
@@ -69,12 +69,12 @@
 	if err := checkUpstream(u); err != nil {
 		return nil, err
 	}
-	seen, err := in.seen()
+	expected, err := in.expectedVersion()
 	if err != nil {
 		return nil, err
 	}
-	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, ExpectedVersion: seen}
-	return a.commit(ctx, holder, in.Changer, "put upstream "+string(u.ID), change)
+	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, ExpectedVersion: expected}
+	return a.commit(ctx, principal, in.ChangeInput, "put upstream "+string(u.ID), change)
 }
 
 func checkUpstream(u vaneyoke.Upstream) error {
@@ -94,40 +94,40 @@
 	return nil
 }
 
-func (a *API) deleteUpstream(ctx context.Context, in *upstreamName) (*Accepted, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleAdministrator)
+func (a *API) deleteUpstream(ctx context.Context, in *upstreamRef) (*Accepted, error) {
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleAdministrator)
 	if err != nil {
 		return nil, err
 	}
-	_, version, err := get[vaneyoke.Upstream](ctx, a, catalog.PartitionUpstreams, string(in.ID))
+	_, version, err := getRow[vaneyoke.Upstream](ctx, a, catalog.PartitionUpstreams, string(in.ID))
 	if err != nil {
 		return nil, err
 	}
 	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(in.ID), ExpectedVersion: version}
-	return a.commit(ctx, holder, in.Changer, "remove upstream "+string(in.ID), change)
+	return a.commit(ctx, principal, in.ChangeInput, "remove upstream "+string(in.ID), change)
 }
 
-func (a *API) drain(ctx context.Context, in *upstreamName) (*Accepted, error) {
+func (a *API) drain(ctx context.Context, in *upstreamRef) (*Accepted, error) {
 	return a.setState(ctx, in, vaneyoke.StateLeaving, "drain upstream ")
 }
 
-func (a *API) undrain(ctx context.Context, in *upstreamName) (*Accepted, error) {
+func (a *API) undrain(ctx context.Context, in *upstreamRef) (*Accepted, error) {
 	return a.setState(ctx, in, vaneyoke.StateLive, "undrain upstream ")
 }
 
-func (a *API) setState(ctx context.Context, in *upstreamName, state vaneyoke.UpstreamState, action string) (*Accepted, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleOperator)
+func (a *API) setState(ctx context.Context, in *upstreamRef, state vaneyoke.UpstreamState, action string) (*Accepted, error) {
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleOperator)
 	if err != nil {
 		return nil, err
 	}
-	if err := within(holder, nil); err != nil {
+	if err := checkScope(principal, nil); err != nil {
 		return nil, err
 	}
-	u, version, err := get[vaneyoke.Upstream](ctx, a, catalog.PartitionUpstreams, string(in.ID))
+	u, version, err := getRow[vaneyoke.Upstream](ctx, a, catalog.PartitionUpstreams, string(in.ID))
 	if err != nil {
 		return nil, err
 	}
 	u.State = state
 	change := catalog.Change{Partition: catalog.PartitionUpstreams, ID: string(u.ID), Value: u, ExpectedVersion: version}
-	return a.commit(ctx, holder, in.Changer, action+string(u.ID), change)
+	return a.commit(ctx, principal, in.ChangeInput, action+string(u.ID), change)
 }
--- a/api/operatorapi/workspaces.go
+++ b/api/operatorapi/workspaces.go
@@ -28,13 +28,13 @@
 }
 
 type pageInput struct {
-	Caller
+	AuthInput
 	After string `query:"after" doc:"Name after which the page begins."`
 	Limit int    `query:"limit" minimum:"1" maximum:"500" default:"100"`
 }
 
 type workspaceInput struct {
-	Changer
+	ChangeInput
 	ID   vaneyoke.WorkspaceID `path:"id"`
 	Body struct {
 		Recovery vaneyoke.Recovery `json:"recovery" enum:"fast,frugal"`
@@ -42,7 +42,7 @@
 }
 
 type keyInput struct {
-	Changer
+	ChangeInput
 	ID   vaneyoke.WorkspaceID `path:"id"`
 	Body struct {
 		Role  vaneyoke.Role          `json:"role" enum:"caller,viewer,operator,administrator"`
@@ -58,8 +58,8 @@
 	}
 }
 
-type keyName struct {
-	Changer
+type keyRef struct {
+	ChangeInput
 	ID   vaneyoke.WorkspaceID `path:"id"`
 	Hash string               `path:"hash" doc:"Hash of the key, or its beginning."`
 }
@@ -72,7 +72,7 @@
 }
 
 func (a *API) listWorkspaces(_ context.Context, in *pageInput) (*workspaceList, error) {
-	if _, err := a.allow(in.Caller, vaneyoke.RoleViewer); err != nil {
+	if _, err := a.authorize(in.AuthInput, vaneyoke.RoleViewer); err != nil {
 		return nil, err
 	}
 	all := a.follower.Current().Workspaces
@@ -92,41 +92,41 @@
 }
 
 func (a *API) putWorkspace(ctx context.Context, in *workspaceInput) (*Accepted, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleAdministrator)
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleAdministrator)
 	if err != nil {
 		return nil, err
 	}
-	seen, err := in.seen()
+	expected, err := in.expectedVersion()
 	if err != nil {
 		return nil, err
 	}
 	w := vaneyoke.Workspace{ID: in.ID, Keys: []vaneyoke.Key{}}
-	if seen > 0 {
-		if w, _, err = get[vaneyoke.Workspace](ctx, a, catalog.PartitionWorkspaces, string(in.ID)); err != nil {
+	if expected > 0 {
+		if w, _, err = getRow[vaneyoke.Workspace](ctx, a, catalog.PartitionWorkspaces, string(in.ID)); err != nil {
 			return nil, err
 		}
 	}
 	w.Recovery = in.Body.Recovery
-	return a.commit(ctx, holder, in.Changer, "put workspace "+string(in.ID), workspaceChange(w, seen))
+	return a.commit(ctx, principal, in.ChangeInput, "put workspace "+string(in.ID), workspaceChange(w, expected))
 }
 
-func workspaceChange(w vaneyoke.Workspace, seen store.Version) catalog.Change {
-	return catalog.Change{Partition: catalog.PartitionWorkspaces, ID: string(w.ID), Value: w, ExpectedVersion: seen}
+func workspaceChange(w vaneyoke.Workspace, expected store.Version) catalog.Change {
+	return catalog.Change{Partition: catalog.PartitionWorkspaces, ID: string(w.ID), Value: w, ExpectedVersion: expected}
 }
 
 func (a *API) createKey(ctx context.Context, in *keyInput) (*keyOutput, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleAdministrator)
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleAdministrator)
 	if err != nil {
 		return nil, err
 	}
-	w, version, err := get[vaneyoke.Workspace](ctx, a, catalog.PartitionWorkspaces, string(in.ID))
+	w, version, err := getRow[vaneyoke.Workspace](ctx, a, catalog.PartitionWorkspaces, string(in.ID))
 	if err != nil {
 		return nil, err
 	}
 	key := keyPrefix + rand.Text()
 	hash := catalog.HashKey(key)
 	w.Keys = append(w.Keys, vaneyoke.Key{Hash: hash, Role: in.Body.Role, Scope: in.Body.Scope})
-	accepted, err := a.commit(ctx, holder, in.Changer, "create key of "+string(in.ID), workspaceChange(w, version))
+	accepted, err := a.commit(ctx, principal, in.ChangeInput, "create key of "+string(in.ID), workspaceChange(w, version))
 	if err != nil {
 		return nil, err
 	}
@@ -135,19 +135,19 @@
 	return out, nil
 }
 
-func (a *API) revokeKey(ctx context.Context, in *keyName) (*Accepted, error) {
-	holder, err := a.allow(in.Caller, vaneyoke.RoleAdministrator)
+func (a *API) revokeKey(ctx context.Context, in *keyRef) (*Accepted, error) {
+	principal, err := a.authorize(in.AuthInput, vaneyoke.RoleAdministrator)
 	if err != nil {
 		return nil, err
 	}
-	w, version, err := get[vaneyoke.Workspace](ctx, a, catalog.PartitionWorkspaces, string(in.ID))
+	w, version, err := getRow[vaneyoke.Workspace](ctx, a, catalog.PartitionWorkspaces, string(in.ID))
 	if err != nil {
 		return nil, err
 	}
-	kept := lo.Reject(w.Keys, func(k vaneyoke.Key, _ int) bool { return strings.HasPrefix(string(k.Hash), in.Hash) })
-	if len(kept) != len(w.Keys)-1 {
-		return nil, vaneyoke.Err(vaneyoke.CodeNotFound, "%d keys have a hash that begins with %s", len(w.Keys)-len(kept), in.Hash)
+	remaining := lo.Reject(w.Keys, func(k vaneyoke.Key, _ int) bool { return strings.HasPrefix(string(k.Hash), in.Hash) })
+	if len(remaining) != len(w.Keys)-1 {
+		return nil, vaneyoke.Err(vaneyoke.CodeNotFound, "%d keys have a hash that begins with %s", len(w.Keys)-len(remaining), in.Hash)
 	}
-	w.Keys = kept
-	return a.commit(ctx, holder, in.Changer, "revoke key of "+string(in.ID), workspaceChange(w, version))
+	w.Keys = remaining
+	return a.commit(ctx, principal, in.ChangeInput, "revoke key of "+string(in.ID), workspaceChange(w, version))
 }
--- a/cmd/vaneyoke/upstream.go
+++ b/cmd/vaneyoke/upstream.go
@@ -70,7 +70,7 @@
 			if u.Kind == vaneyoke.KindService {
 				offers = string(u.Service)
 			}
-			breaker := lo.Ternary(u.Open, "open", "closed")
+			breaker := lo.Ternary(u.BreakerOpen, "open", "closed")
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%t\n", u.ID, u.Kind, u.DataCentre, u.State, offers, u.InFlight, breaker, u.Drained)
 		}
 	})
