--- a/api/callerapi/answer.go
+++ b/api/callerapi/answer.go
@@ -39,7 +39,7 @@
 	if err := result.Err(); err != nil {
 		return nil, err
 	}
-	a.reader.Seal(ctx)
+	a.reader.WaitReplicated(ctx)
 	body := session.Answer().Body
 	if a.req.Continuable {
 		response := openai.NewResponse(a.req, a.req.ReceivedAt, string(session.Text()), result.Reason, result.Usage)
@@ -103,7 +103,7 @@
 }
 
 // send writes the whole stream; an error means that the caller has disconnected.
-func (s *streamWriter) send(ctx context.Context, chunk failover.Piece, result relay.Result, resumed bool) error {
+func (s *streamWriter) send(ctx context.Context, chunk failover.Chunk, result relay.Result, resumed bool) error {
 	if !s.req.Continuable {
 		return s.sendAsChunks(ctx, result)
 	}
@@ -146,7 +146,7 @@
 	if err := result.Err(); err != nil {
 		return s.writeFailure(err)
 	}
-	s.reader.Seal(ctx)
+	s.reader.WaitReplicated(ctx)
 	end := append([]byte(nil), s.writer.Finish(result.Reason)...)
 	if s.req.IncludeUsage {
 		end = append(end, s.writer.Usage(result.Usage)...)
--- a/api/gateway/gateway.go
+++ b/api/gateway/gateway.go
@@ -172,23 +172,23 @@
 func newForwarding(table *route.Table, r *route.Route, envelope Envelope) relay.Forwarding {
 	service := table.Service(r.ServiceAt(rand.Float64()))
 	return relay.Forwarding{
-		Service:     service.ID,
-		Stream:      r.Kind == route.KindStream,
-		Health:      service.HealthPath,
-		Replicate:   service.Replicas && r.Kind == route.KindStream && r.Resumable,
-		Parts:       envelope.PromptParts,
-		After:       envelope.LastEventID,
-		Goal:        r.LatencyGoal,
-		Pause:       r.EventIntervalGoal,
-		MaxAttempts: r.MaxAttempts,
-		Version:     table.Version(),
+		Service:           service.ID,
+		Stream:            r.Kind == route.KindStream,
+		HealthPath:        service.HealthPath,
+		Replicate:         service.Replicas && r.Kind == route.KindStream && r.Resumable,
+		PromptParts:       envelope.PromptParts,
+		ResumeAfter:       envelope.LastEventID,
+		LatencyGoal:       r.LatencyGoal,
+		EventIntervalGoal: r.EventIntervalGoal,
+		MaxAttempts:       r.MaxAttempts,
+		ConfigRevision:    table.Version(),
 	}
 }
 
 // requiredRunTime returns how long a stopping node must keep running to accept a request that may take maxWait. For a
 // repeatable call a failure is no worse than a refusal, so the time in which it is likely to be answered suffices.
 func requiredRunTime(r *route.Route, maxWait time.Duration) time.Duration {
-	if suspect := relay.Suspect(r.LatencyGoal); r.Kind == route.KindRepeatable && suspect > 0 {
+	if suspect := relay.SuspectAfter(r.LatencyGoal); r.Kind == route.KindRepeatable && suspect > 0 {
 		return min(maxWait, suspect)
 	}
 	return maxWait
--- a/process/node/config.go
+++ b/process/node/config.go
@@ -46,7 +46,7 @@
 		Deviations: s.Recovery.Deviations,
 		Patience:   s.Recovery.Patience,
 	}
-	return relay.Config{Generation: config, PlainEvery: uint64(s.Log.PlainEvery), CallSilence: s.Limits.CallSilence, WholeLimit: s.Limits.WholeLimit}
+	return relay.Config{Generation: config, UneventfulLogEvery: uint64(s.Log.PlainEvery), CallSilence: s.Limits.CallSilence, UnaryTimeout: s.Limits.WholeLimit}
 }
 
 func apiConfig(s settings.Limits) callerapi.Config {
@@ -56,9 +56,9 @@
 func failoverConfig(s settings.Peers) failover.Config {
 	return failover.Config{
 		PushPeriod: s.PushPeriod,
-		AckWait:    s.AckWait,
+		AckTimeout: s.AckWait,
 		Linger:     s.Linger,
 		Retention:  s.Retention,
-		TailIDs:    s.TailTokens,
+		MaxTailIDs: s.TailTokens,
 	}
 }
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -32,11 +32,11 @@
 
 // heard takes in what another node saw: of an upstream, or of what a request did to one.
 func (b *gatewayPlacer) heard(s gossip.Sighting) {
-	if s.Kind.OfRun() {
+	if s.Kind.AboutContent() {
 		b.crashes.RecordGossip(s)
 		return
 	}
-	b.Heard(s)
+	b.RecordGossip(s)
 }
 
 // Place returns an upstream.
@@ -51,30 +51,30 @@
 // Limited reports whether an upstream names a limit.
 func (b *gatewayPlacer) Limited(id vaneyoke.UpstreamID) bool { return b.limits.Limited(id) }
 
-// Permit looks for a permit to send something to an upstream.
-func (b *gatewayPlacer) Permit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
+// AcquirePermit looks for a permit to send something to an upstream.
+func (b *gatewayPlacer) AcquirePermit(ctx context.Context, id vaneyoke.UpstreamID) relay.Permit {
 	return relay.Permit(b.limits.AcquirePermit(ctx, id))
 }
 
-// Withheld notes that there was none for an attempt that had been placed.
-func (b *gatewayPlacer) Withheld(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
-	b.Balancer.Withheld(need, isRetry, id, permit.Next, permit.Turn)
+// LimitReached notes that there was none for an attempt that had been placed.
+func (b *gatewayPlacer) LimitReached(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
+	b.Balancer.LimitReached(need, isRetry, id, permit.Next, permit.Turn)
 }
 
-// Answered notes how an upstream answered.
-func (b *gatewayPlacer) Answered(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
+// RecordAnswer notes how an upstream answered.
+func (b *gatewayPlacer) RecordAnswer(upstream vaneyoke.Upstream, route vaneyoke.RouteID, answer rollout.Answer) {
 	if b.rollouts != nil {
 		b.rollouts.RecordAnswer(steady.Now(), upstream, route, answer)
 	}
 }
 
-// Doubts reports whether upstreams may have been replaced without the list saying so.
-func (b *gatewayPlacer) Doubts() bool { return b.mesh.Stale() }
+// MayBeStale reports whether upstreams may have been replaced without the list saying so.
+func (b *gatewayPlacer) MayBeStale() bool { return b.mesh.Stale() }
 
 // FirstToken notes that an attempt's first token came after a while.
 func (b *gatewayPlacer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
 	b.Balancer.FirstToken(id, took, promptBytes)
-	b.gossip.Seen(id, gossip.KindWell)
+	b.gossip.Seen(id, gossip.KindHealthy)
 }
 
 // Ended notes how an attempt came out, and tells the other nodes where that says something of the upstream.
@@ -82,13 +82,13 @@
 	b.Balancer.Ended(id, outcome, begun)
 	switch outcome {
 	case placement.OutcomeDone:
-		b.gossip.Seen(id, gossip.KindWell)
+		b.gossip.Seen(id, gossip.KindHealthy)
 	case placement.OutcomeLost:
 		b.gossip.Seen(id, gossip.KindLost)
 	case placement.OutcomeUnreachable:
 		b.gossip.Seen(id, gossip.KindUnreachable)
 	case placement.OutcomeGone:
-		b.gossip.Seen(id, gossip.KindGone)
+		b.gossip.Seen(id, gossip.KindReplaced)
 	default: // says nothing of the way to it
 	}
 }
