--- a/wire/peer/server.go
+++ b/wire/peer/server.go
@@ -20,7 +20,7 @@
 
 // Sessions hands over the sessions that this node owns.
 type Sessions interface {
-	// HandOver ends a session on this node and returns its whole state for the next owner; a finished one is returned unchanged.
+	// HandOver ends a running session on this node and returns it in full for its next owner. A finished session is returned and kept.
 	HandOver(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool)
 }
 
