--- a/shell/relay/forwarded_test.go
+++ b/shell/relay/forwarded_test.go
@@ -75,7 +75,7 @@
 func (s *lateExchange) Head() forward.Head {
 	return forward.Head{Status: http.StatusOK, Header: http.Header{"From": {s.from}}}
 }
-func (*lateExchange) Events() bool          { return true }
+func (*lateExchange) IsEventStream() bool   { return true }
 func (*lateExchange) Body() ([]byte, error) { return nil, io.ErrUnexpectedEOF }
 func (*lateExchange) Close() error          { return nil }
 func (s *lateExchange) Next() (forward.Event, error) {
@@ -107,11 +107,11 @@
 	return nil, &engine.NotSentError{Reason: "connection refused"}
 }
 
-func (*fakeSender) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
+func (*fakeSender) LoadReport(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
 	return vaneyoke.LoadReport{}, false
 }
-func (*fakeSender) Holds(context.Context, vaneyoke.Upstream, []string) bool { return false }
-func (s *fakeSender) Work(context.Context, vaneyoke.Upstream, vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
+func (*fakeSender) HoldsPrompt(context.Context, vaneyoke.Upstream, []string) bool { return false }
+func (s *fakeSender) RunState(context.Context, vaneyoke.Upstream, vaneyoke.RequestID) (vaneyoke.RunState, vaneyoke.Tokens) {
 	return s.runState, 0
 }
 func (s *fakeSender) Identity(_ context.Context, u vaneyoke.Upstream, _ string) (vaneyoke.UpstreamID, bool) {
--- a/shell/relay/guard_test.go
+++ b/shell/relay/guard_test.go
@@ -81,7 +81,7 @@
 	return !slices.Contains(d.unreachable, u.ID)
 }
 
-func (d *crashingSender) Report(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
+func (d *crashingSender) LoadReport(context.Context, vaneyoke.Upstream) (vaneyoke.LoadReport, bool) {
 	return vaneyoke.LoadReport{Incarnation: d.incarnation}, true
 }
 
@@ -154,7 +154,7 @@
 type unaryExchange struct{ forward.Response }
 
 func (unaryExchange) Head() forward.Head    { return forward.Head{Status: 200} }
-func (unaryExchange) Events() bool          { return false }
+func (unaryExchange) IsEventStream() bool   { return false }
 func (unaryExchange) Body() ([]byte, error) { return []byte("whole"), nil }
 func (unaryExchange) Close() error          { return nil }
 
--- a/wire/peer/fuzz_test.go
+++ b/wire/peer/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/vaneyoke/vaneyoke/wire/peer/peerpb"
 )
 
-// FuzzDeltas reads any bytes as a delta that a node pushes, and keeps it beside one that is well formed.
+// FuzzDeltas pushes a delta decoded from arbitrary bytes to a journal store twice.
 func FuzzDeltas(f *testing.F) {
 	key := &peerpb.Key{Workspace: "w", Key: "k"}
 	for _, d := range []*peerpb.Delta{
