--- a/shell/failover/manager.go
+++ b/shell/failover/manager.go
@@ -197,8 +197,8 @@
 	s.changed.Broadcast()
 }
 
-// GiveUp ends a running session on this node and returns it in full for its next owner. A finished session is returned and kept.
-func (m *Manager) GiveUp(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool) {
+// HandOver ends a running session on this node and returns it in full for its next owner. A finished session is returned and kept.
+func (m *Manager) HandOver(key journal.Key, owner vaneyoke.NodeID) (journal.Delta, bool) {
 	s := m.find(key)
 	if s == nil {
 		return journal.Delta{}, false
