--- a/process/node/node.go
+++ b/process/node/node.go
@@ -178,7 +178,7 @@
 	for _, server := range n.servers {
 		server.DisableKeepAlives()
 	}
-	n.log.WithFields(logrus.Fields{"open": n.api.Open(), "grace": n.settings.Node.Grace}).Info("node_stopping")
+	n.log.WithFields(logrus.Fields{"open": n.api.InFlight(), "grace": n.settings.Node.Grace}).Info("node_stopping")
 	ctx, cancel := context.WithDeadline(ctx, stopping.Add(n.settings.Node.Grace))
 	defer cancel()
 	interrupted := n.drain(ctx, stopping)
@@ -195,7 +195,7 @@
 	grace := n.settings.Node.Grace
 	drainCtx, cancel := context.WithDeadline(ctx, stopping.Add(grace-min(leaveTimeout, grace/leaveGraceDivisor)))
 	defer cancel()
-	drained := n.callers().WaitIdle(drainCtx) && waitUntilZero(drainCtx, n.api.Open)
+	drained := n.callers().WaitIdle(drainCtx) && waitUntilZero(drainCtx, n.api.InFlight)
 	n.failover.Flush(ctx)
 	if drained {
 		return 0
--- a/process/node/pushbacks_wire.go
+++ b/process/node/pushbacks_wire.go
@@ -20,14 +20,14 @@
 	pushbacks *pushbacks.Node
 }
 
-// Sending records that a request is about to be sent to an upstream.
-func (l *signalListener) Sending(upstream vaneyoke.Upstream, kind forward.Kind) {
+// RecordSent records that a request is about to be sent to an upstream.
+func (l *signalListener) RecordSent(upstream vaneyoke.Upstream, kind forward.Kind) {
 	l.limits.RecordSent(upstream, kind)
 	l.pushbacks.RecordSent(time.Now(), upstream.ID, kind)
 }
 
-// Answered records the signals in an upstream's answer.
-func (l *signalListener) Answered(upstream vaneyoke.Upstream, signals forward.Signals, sentAt time.Time) {
+// RecordSignals records the signals in an upstream's answer.
+func (l *signalListener) RecordSignals(upstream vaneyoke.Upstream, signals forward.Signals, sentAt time.Time) {
 	if signals.Limit != nil {
 		l.limits.RecordLimit(upstream, *signals.Limit, sentAt)
 	}
