--- a/decide/cursor/cursor.go
+++ b/decide/cursor/cursor.go
@@ -135,7 +135,7 @@
 }
 
 func errBadCursor() error {
-	return vaneyoke.ErrField(vaneyoke.CodeBadRequest, "header.Last-Event-ID", "is not a cursor of this fleet")
+	return vaneyoke.ErrField(vaneyoke.CodeBadRequest, "header.Last-Event-ID", "is no cursor of this fleet")
 }
 
 // reader decodes the fields of a cursor in order.
--- a/decide/policy/compile.go
+++ b/decide/policy/compile.go
@@ -47,13 +47,13 @@
 func Compile(text []byte) (*Policy, []Problem) {
 	p := &parser{}
 	if len(text) > maxTextBytes {
-		p.addProblem(sectionPolicy, "", fmt.Sprintf("is longer than %d bytes", maxTextBytes), "split it into several policies")
+		p.addProblem(sectionPolicy, "", fmt.Sprintf("is longer than %d bytes", maxTextBytes), "part it in several policies")
 		return nil, p.problems
 	}
 	d := p.parse(text)
 	policy := &Policy{Name: d.name, zone: d.zone, workspaces: d.workspaces}
 	if len(d.rules)+len(d.drains) > maxRules {
-		p.addProblem(sectionPolicy, "", fmt.Sprintf("has more than %d rules", maxRules), "split it into several policies")
+		p.addProblem(sectionPolicy, "", fmt.Sprintf("has more than %d rules", maxRules), "part it in several policies")
 	}
 	for _, r := range d.rules {
 		program, usesSize := p.compileCondition(prefixRule+r.name, r.when)
@@ -82,7 +82,7 @@
 		return nil, false
 	}
 	if v.nodes > maxNodes {
-		p.addProblem(section, "when", fmt.Sprintf("has more than %d parts", maxNodes), "split it into several rules")
+		p.addProblem(section, "when", fmt.Sprintf("has more than %d parts", maxNodes), "part it in several rules")
 	}
 	switch constant, ok := program.Node().(*ast.BoolNode); {
 	case ok && !constant.Value:
--- a/decide/policy/document.go
+++ b/decide/policy/document.go
@@ -83,7 +83,7 @@
 func (p *parser) parse(text []byte) document {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
-		p.addProblem(sectionPolicy, "", "is not valid INI: "+err.Error(), "")
+		p.addProblem(sectionPolicy, "", "is no INI text: "+err.Error(), "")
 		return document{}
 	}
 	d := document{zone: time.UTC}
@@ -114,7 +114,7 @@
 	zone := section.Key("zone").MustString("UTC")
 	location, err := time.LoadLocation(zone)
 	if err != nil {
-		p.addProblem(sectionPolicy, "zone", "is not a time zone: "+zone, "for example Europe/London")
+		p.addProblem(sectionPolicy, "zone", "is no time zone: "+zone, "write it as in Europe/London")
 		return
 	}
 	d.zone = location
@@ -124,7 +124,7 @@
 func (p *parser) checkKeys(section *ini.Section, keys ...string) {
 	for _, key := range section.KeyStrings() {
 		if !slices.Contains(keys, key) {
-			p.addProblem(section.Name(), key, "is an unknown key", "known keys are "+strings.Join(keys, ", "))
+			p.addProblem(section.Name(), key, "is an unknown key", "known are "+strings.Join(keys, ", "))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	if text := section.Key("wait").String(); text != "" {
 		wait, err := time.ParseDuration(text)
 		if err != nil || wait <= 0 {
-			p.addProblem(section.Name(), "wait", "must be a duration over 0, got "+text, "for example 2s")
+			p.addProblem(section.Name(), "wait", "must be a duration over 0, got "+text, "write it as in 2s")
 		}
 		r.decision.MaxWait = wait
 	}
