--- a/shell/claims/claims.go
+++ b/shell/claims/claims.go
@@ -130,7 +130,7 @@
 	s.record.NotRun = vaneyoke.CodeStoreDown
 	err = c.put(ctx, s.key, s.record, existing.Version)
 	if vaneyoke.CodeOf(err) == vaneyoke.CodeStoreRace {
-		return vaneyoke.Err(vaneyoke.CodeStoreDown, "the row of the claim changed between read and write")
+		return vaneyoke.Err(vaneyoke.CodeStoreDown, "the row changed meanwhile")
 	}
 	return err
 }
