--- a/cmd/vaneyoked/gateway_test.go
+++ b/cmd/vaneyoked/gateway_test.go
@@ -18,7 +18,8 @@
 	"github.com/vaneyoke/vaneyoke/process/settings"
 )
 
-const patient = 20 * time.Second
+// maxWait is the longest time that a test waits for a condition.
+const maxWait = 20 * time.Second
 
 // freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
@@ -28,13 +29,13 @@
 	return l.Addr().String()
 }
 
-// filledTemplate returns the deployed settings as the platform would fill them.
-func filledTemplate(t *testing.T, store, listen, readiness, admin string) string {
-	return filledTemplateOf(t, "../../deploy/node.ini", store, listen, readiness, admin)
+// renderDeployedSettings returns the deployed settings with their placeholders filled in, as the platform does it.
+func renderDeployedSettings(t *testing.T, store, listen, readiness, admin string) string {
+	return renderSettings(t, "../../deploy/node.ini", store, listen, readiness, admin)
 }
 
-// filledTemplateOf does so for the template of some build.
-func filledTemplateOf(t *testing.T, path, store, listen, readiness, admin string) string {
+// renderSettings fills in the placeholders of the settings template at path, which may be that of an earlier build.
+func renderSettings(t *testing.T, path, store, listen, readiness, admin string) string {
 	text, err := os.ReadFile(path)
 	must.NoError(t, err)
 	filled := strings.NewReplacer(
@@ -48,8 +49,8 @@
 	return filled
 }
 
-func TestDeployedSettingsAreGood(t *testing.T) {
-	text := filledTemplate(t, "10.0.0.1:1", "10.0.0.2:1", "10.0.0.2:2", "10.0.0.2:3")
+func TestDeployedSettingsAreValid(t *testing.T) {
+	text := renderDeployedSettings(t, "10.0.0.1:1", "10.0.0.2:1", "10.0.0.2:2", "10.0.0.2:3")
 	s, err := settings.Parse([]byte(text), "node.ini")
 	must.NoError(t, err)
 	must.EqOp(t, 8*time.Second, s.Node.Grace)
@@ -59,32 +60,33 @@
 	must.EqOp(t, time.Second, s.Duties.Window)
 }
 
-// TestHangupsAreTaken sends SIGHUP with good and bad settings to a node, which must serve on, and then stops it.
-func TestHangupsAreTaken(t *testing.T) {
+// TestNodeServesAcrossHangups sends SIGHUP to a node after writing valid and invalid settings. The node must stay ready
+// after each, and stop without an error.
+func TestNodeServesAcrossHangups(t *testing.T) {
 	store := platformtest.NewStore()
 	t.Cleanup(store.Close)
 	store.Configure(1, "stall.example", "key")
 	readiness := freeAddress(t)
-	text := filledTemplate(t, store.Address(), "127.0.0.1:0", readiness, "127.0.0.1:0")
+	text := renderDeployedSettings(t, store.Address(), "127.0.0.1:0", readiness, "127.0.0.1:0")
 	path := filepath.Join(t.TempDir(), "node.ini")
 	must.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	caught := catchForTest(t)
-	go func() { ended <- command(caught).Run(ctx, []string{"vaneyoked", "--config", path}) }()
-	untilReady(t, "http://"+readiness+"/readyz")
+	sigs := catchForTest(t)
+	go func() { ended <- command(sigs).Run(ctx, []string{"vaneyoked", "--config", path}) }()
+	waitReady(t, "http://"+readiness+"/readyz")
 	for _, changed := range []string{strings.Replace(text, "8s", "2s", 1), "[node", text} {
 		must.NoError(t, os.WriteFile(path, []byte(changed), 0o600))
 		must.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		untilReady(t, "http://"+readiness+"/readyz")
+		waitReady(t, "http://"+readiness+"/readyz")
 	}
 	stop()
 	must.NoError(t, <-ended)
 }
 
-func untilReady(t *testing.T, url string) {
+func waitReady(t *testing.T, url string) {
 	for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		must.Less(t, patient, time.Since(start))
+		must.Less(t, maxWait, time.Since(start))
 		res, err := http.Get(url) //nolint:gosec // the address is the test's own
 		if err != nil {
 			continue
--- a/cmd/vaneyoked/log_test.go
+++ b/cmd/vaneyoked/log_test.go
@@ -13,15 +13,15 @@
 	"github.com/vaneyoke/vaneyoke/platform/platformtest"
 )
 
-// TestNodeOutlivesTheReaderOfItsLog takes the reader of a node's log away; the node must go on, write further lines into
-// nothing, and stop in its own time.
-func TestNodeOutlivesTheReaderOfItsLog(t *testing.T) {
+// TestNodeSurvivesClosedLogPipe closes the reading end of a node's log. The node must keep serving, discard further lines,
+// and stop gracefully.
+func TestNodeSurvivesClosedLogPipe(t *testing.T) {
 	store := platformtest.NewStore()
 	t.Cleanup(store.Close)
 	store.Configure(1, "stall.example", "key")
 	readiness := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "node.ini")
-	text := filledTemplate(t, store.Address(), "127.0.0.1:0", readiness, "127.0.0.1:0")
+	text := renderDeployedSettings(t, store.Address(), "127.0.0.1:0", readiness, "127.0.0.1:0")
 	must.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	reader, writer, err := os.Pipe()
 	must.NoError(t, err)
@@ -31,12 +31,12 @@
 	must.NoError(t, cmd.Start())
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	must.NoError(t, writer.Close())
-	untilReady(t, "http://"+readiness+"/readyz")
+	waitReady(t, "http://"+readiness+"/readyz")
 	must.NoError(t, reader.Close())
-	for range 5 { // each writes lines
+	for range 5 { // each SIGHUP writes log lines
 		must.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 		time.Sleep(20 * time.Millisecond)
-		untilReady(t, "http://"+readiness+"/readyz")
+		waitReady(t, "http://"+readiness+"/readyz")
 	}
 	must.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	must.NoError(t, cmd.Wait())
--- a/cmd/vaneyoked/main.go
+++ b/cmd/vaneyoked/main.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 	"time"
-	_ "time/tzdata" // VMs may have no time zones of their own
+	_ "time/tzdata" // a VM may have no time zone database
 
 	"github.com/urfave/cli/v3"
 
@@ -16,8 +16,8 @@
 	"github.com/vaneyoke/vaneyoke/process/telemetry"
 )
 
-// logWait is the longest wait for the reader of the log when the node ends.
-const logWait = 500 * time.Millisecond
+// logCloseTimeout is how long the process waits at its end for the reader of the log to take the remaining lines.
+const logCloseTimeout = 500 * time.Millisecond
 
 func main() {
 	if err := command(catchSignals()).Run(context.Background(), os.Args); err != nil {
@@ -26,8 +26,8 @@
 	}
 }
 
-// command returns the command line; caught are the signals that a node follows.
-func command(caught *signals) *cli.Command {
+// command returns the command line. sigs are the signals that control the node.
+func command(sigs *signals) *cli.Command {
 	return &cli.Command{
 		Name:                  "vaneyoked",
 		Usage:                 "run one node of vaneyoke",
@@ -37,11 +37,11 @@
 			&cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "INI `FILE` with the node's settings", Required: true},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
 		},
-		Action: func(ctx context.Context, cmd *cli.Command) error { return run(ctx, cmd, caught) },
+		Action: func(ctx context.Context, cmd *cli.Command) error { return run(ctx, cmd, sigs) },
 	}
 }
 
-func run(ctx context.Context, cmd *cli.Command, caught *signals) error {
+func run(ctx context.Context, cmd *cli.Command, sigs *signals) error {
 	s, err := settings.Load(cmd.String("config"))
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 		return nil
 	}
 	out := telemetry.NewAsyncWriter(os.Stdout)
-	defer out.Close(logWait)
+	defer out.Close(logCloseTimeout)
 	log, err := telemetry.NewLogger(out, s.Log.Level)
 	if err != nil {
 		return vaneyoke.WrapErr(vaneyoke.CodeSettingsValue, err, "[log] level")
@@ -60,5 +60,5 @@
 	if err != nil {
 		return err
 	}
-	return (&runner{node: n, path: cmd.String("config"), log: log, signals: caught}).run(ctx)
+	return (&runner{node: n, path: cmd.String("config"), log: log, signals: sigs}).run(ctx)
 }
--- a/cmd/vaneyoked/main_test.go
+++ b/cmd/vaneyoked/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-const good = `
+const validSettings = `
 [node]
 vm = vm-1
 data_centre = hall-a
@@ -33,11 +33,11 @@
 		code vaneyoke.Code
 		want string
 	}{
-		"good settings":         {good, []string{"--check"}, vaneyoke.CodeOK, "settings are good"},
-		"unknown key":           {good + "x = 1\n", []string{"--check"}, vaneyoke.CodeSettingsKey, "[platform] x: unknown key"},
-		"bad value":             {good + "poll = 1h\n", []string{"--check"}, vaneyoke.CodeSettingsValue, "poll: must be at most 2s"},
-		"trace has no folder":   {good + "[trace]\noutput = /none/none/trace\n", nil, vaneyoke.CodeSettingsValue, "[trace] output"},
-		"address of another VM": {good + "[log]\nlevel = error\n", nil, vaneyoke.CodeListen, "listen on"},
+		"good settings":         {validSettings, []string{"--check"}, vaneyoke.CodeOK, "settings are good"},
+		"unknown key":           {validSettings + "x = 1\n", []string{"--check"}, vaneyoke.CodeSettingsKey, "[platform] x: unknown key"},
+		"bad value":             {validSettings + "poll = 1h\n", []string{"--check"}, vaneyoke.CodeSettingsValue, "poll: must be at most 2s"},
+		"trace has no folder":   {validSettings + "[trace]\noutput = /none/none/trace\n", nil, vaneyoke.CodeSettingsValue, "[trace] output"},
+		"address of another VM": {validSettings + "[log]\nlevel = error\n", nil, vaneyoke.CodeListen, "listen on"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/vaneyoked/signals.go
+++ b/cmd/vaneyoked/signals.go
@@ -14,14 +14,14 @@
 	"github.com/vaneyoke/vaneyoke/process/settings"
 )
 
-// signals are what the process is told. Each kind waits in a place of its own, so that none is lost behind others.
+// signals holds the signals that the process receives. Each kind has its own channel, so that SIGHUPs cannot displace a SIGTERM.
 type signals struct {
 	stops   chan os.Signal
 	hangups chan os.Signal
 }
 
-// catchSignals keeps the signals that a node follows from ending the process, and the one that a write to the log brings
-// where its reader is gone.
+// catchSignals starts to receive the signals that control a node, which then no longer end the process. It also ignores SIGPIPE,
+// which a write to the log raises if its reader has closed the pipe.
 func catchSignals() *signals {
 	signal.Ignore(syscall.SIGPIPE)
 	s := &signals{stops: make(chan os.Signal, 1), hangups: make(chan os.Signal, 1)}
@@ -30,27 +30,28 @@
 	return s
 }
 
-// runner has a node follow the process's signals. They are caught until the process has ended, so that none cuts a stop short.
+// runner runs a node under the control of the process's signals. They are caught until the process ends, so that none interrupts
+// a graceful stop.
 type runner struct {
 	node     node.Process
-	path     string // of the settings
+	path     string // of the settings file
 	log      logrus.FieldLogger
 	signals  *signals
 	stopping atomic.Bool
 }
 
-// stopOnSignal returns a context that ends at the first signal to stop, and until ended is closed tells of further ones,
-// which change nothing.
-func (r *runner) stopOnSignal(ctx context.Context, ended <-chan struct{}) context.Context {
+// stopOnSignal returns a context that is cancelled by the first SIGTERM or interrupt. Further ones are logged until done is closed,
+// and have no other effect.
+func (r *runner) stopOnSignal(ctx context.Context, done <-chan struct{}) context.Context {
 	ctx, stop := context.WithCancel(ctx)
 	go func() {
 		defer stop()
 		for {
 			select {
-			case <-ended:
+			case <-done:
 				return
 			case signal := <-r.signals.stops:
-				r.tell(signal)
+				r.logSignal(signal)
 				r.stopping.Store(true)
 				stop()
 			}
@@ -59,14 +60,14 @@
 	return ctx
 }
 
-// followHangups takes in the settings at each SIGHUP until ended is closed; one that comes while the node stops changes nothing.
-func (r *runner) followHangups(ended <-chan struct{}) {
+// reloadOnHangup reloads the settings on each SIGHUP until done is closed. A SIGHUP that arrives while the node stops is only logged.
+func (r *runner) reloadOnHangup(done <-chan struct{}) {
 	for {
 		select {
-		case <-ended:
+		case <-done:
 			return
 		case signal := <-r.signals.hangups:
-			r.tell(signal)
+			r.logSignal(signal)
 			if !r.stopping.Load() {
 				r.reload()
 			}
@@ -74,21 +75,21 @@
 	}
 }
 
-// run starts the node, and stops it when ctx ends or a signal says so.
+// run starts the node, and stops it when ctx ends or a signal asks for it.
 func (r *runner) run(ctx context.Context) error {
-	ended := make(chan struct{})
-	defer close(ended)
-	running := r.stopOnSignal(ctx, ended)
+	done := make(chan struct{})
+	defer close(done)
+	running := r.stopOnSignal(ctx, done)
 	if err := r.node.Start(running); err != nil {
 		return err
 	}
-	go r.followHangups(ended)
+	go r.reloadOnHangup(done)
 	<-running.Done()
 	r.stopping.Store(true)
 	return r.node.Stop(context.WithoutCancel(ctx))
 }
 
-// reload takes in the settings; a file with errors is told of and left aside.
+// reload reads the settings file and applies it to the node. If the file has errors, they are logged and the node keeps its settings.
 func (r *runner) reload() {
 	s, err := settings.Load(r.path)
 	if err != nil {
@@ -98,6 +99,6 @@
 	r.node.Reload(s)
 }
 
-func (r *runner) tell(signal os.Signal) {
+func (r *runner) logSignal(signal os.Signal) {
 	r.log.WithFields(logrus.Fields{"signal": signal, "stopping": r.stopping.Load()}).Info("signal_received")
 }
--- a/cmd/vaneyoked/signals_test.go
+++ b/cmd/vaneyoked/signals_test.go
@@ -26,35 +26,35 @@
 	return caught
 }
 
-// stopping is a node whose stop lasts until it is let go.
-type stopping struct {
-	begun, letGo chan struct{}
-	reloads      int
+// blockingNode is a node whose Stop blocks until release is closed.
+type blockingNode struct {
+	stopCalled, release chan struct{}
+	reloads             int
 }
 
-func (*stopping) Start(context.Context) error { return nil }
-func (s *stopping) Reload(settings.Settings)  { s.reloads++ }
-func (s *stopping) Stop(context.Context) error {
-	close(s.begun)
-	<-s.letGo
+func (*blockingNode) Start(context.Context) error { return nil }
+func (s *blockingNode) Reload(settings.Settings)  { s.reloads++ }
+func (s *blockingNode) Stop(context.Context) error {
+	close(s.stopCalled)
+	<-s.release
 	return nil
 }
 
-// lines is a log that may be read while it is written.
-type lines struct {
+// syncBuffer holds log output that may be read while it is written.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write adds a line.
-func (l *lines) Write(p []byte) (int, error) {
+// Write appends p.
+func (l *syncBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-// until waits for a line that holds a text.
-func (l *lines) until(t *testing.T, text string) {
+// waitFor waits until the log contains text.
+func (l *syncBuffer) waitFor(t *testing.T, text string) {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
@@ -63,56 +63,56 @@
 		if found {
 			return
 		}
-		must.Less(t, patient, time.Since(start), must.Sprint(text))
+		must.Less(t, maxWait, time.Since(start), must.Sprint(text))
 	}
 }
 
-// TestSignalsDuringAStop holds that signals which come while a node stops neither end the process nor change anything, and are told of.
+// TestSignalsDuringAStop sends signals to a node that is stopping: they must be logged, and neither end the process nor reload the settings.
 func TestSignalsDuringAStop(t *testing.T) {
-	var out lines
+	var out syncBuffer
 	log, err := telemetry.NewLogger(&out, "info")
 	must.NoError(t, err)
-	n := &stopping{begun: make(chan struct{}), letGo: make(chan struct{})}
+	n := &blockingNode{stopCalled: make(chan struct{}), release: make(chan struct{})}
 	caught := &signals{stops: make(chan os.Signal), hangups: make(chan os.Signal)}
 	r := &runner{node: n, path: "none", log: log, signals: caught}
 	ended := make(chan error)
 	go func() { ended <- r.run(t.Context()) }()
-	caught.hangups <- syscall.SIGHUP // the settings cannot be read, and the node goes on
-	out.until(t, "settings_refused")
-	out.until(t, "signal=hangup stopping=false")
+	caught.hangups <- syscall.SIGHUP // the settings cannot be read, and the node keeps running
+	out.waitFor(t, "settings_refused")
+	out.waitFor(t, "signal=hangup stopping=false")
 	caught.stops <- syscall.SIGTERM
-	<-n.begun
-	out.until(t, "signal=terminated stopping=false")
+	<-n.stopCalled
+	out.waitFor(t, "signal=terminated stopping=false")
 	caught.stops <- syscall.SIGTERM
 	caught.hangups <- syscall.SIGHUP
 	caught.stops <- os.Interrupt
-	out.until(t, "signal=terminated stopping=true")
-	out.until(t, "signal=hangup stopping=true")
-	out.until(t, "signal=interrupt stopping=true")
-	close(n.letGo)
+	out.waitFor(t, "signal=terminated stopping=true")
+	out.waitFor(t, "signal=hangup stopping=true")
+	out.waitFor(t, "signal=interrupt stopping=true")
+	close(n.release)
 	must.NoError(t, <-ended)
 	must.EqOp(t, 0, n.reloads)
 }
 
-// slowStart is a node whose start lasts until it is told to stop.
-type slowStart struct{ stopping }
+// blockingStart is a node whose Start blocks until its context is cancelled.
+type blockingStart struct{ blockingNode }
 
-func (*slowStart) Start(ctx context.Context) error {
+func (*blockingStart) Start(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// TestStopSignalEndsAStart holds that a node which is told to stop while it starts does not start first.
-func TestStopSignalEndsAStart(t *testing.T) {
-	log, err := telemetry.NewLogger(&lines{}, "info")
+// TestStopSignalAbortsStart sends SIGTERM to a node that is starting: it must give up the start rather than complete it first.
+func TestStopSignalAbortsStart(t *testing.T) {
+	log, err := telemetry.NewLogger(&syncBuffer{}, "info")
 	must.NoError(t, err)
 	caught := &signals{stops: make(chan os.Signal, 1), hangups: make(chan os.Signal, 1)}
 	caught.stops <- syscall.SIGTERM
-	r := &runner{node: &slowStart{}, path: "none", log: log, signals: caught}
+	r := &runner{node: &blockingStart{}, path: "none", log: log, signals: caught}
 	must.ErrorIs(t, r.run(t.Context()), context.Canceled)
 }
 
-// TestStopSignalIsNotLostBehindHangups sends many hangups, and then SIGTERM, while nothing is taken in.
+// TestStopSignalIsNotLostBehindHangups sends many SIGHUPs and then SIGTERM while nobody receives signals: the SIGTERM must still be delivered.
 func TestStopSignalIsNotLostBehindHangups(t *testing.T) {
 	caught := catchForTest(t)
 	for range 40 {
@@ -123,7 +123,7 @@
 	select {
 	case got := <-caught.stops:
 		must.Eq[os.Signal](t, syscall.SIGTERM, got)
-	case <-time.After(patient):
+	case <-time.After(maxWait):
 		t.Fatal("SIGTERM was lost")
 	}
 	must.Eq[os.Signal](t, syscall.SIGHUP, <-caught.hangups)
--- a/cmd/vaneyoked/soak_builds_test.go
+++ b/cmd/vaneyoked/soak_builds_test.go
@@ -14,7 +14,7 @@
 
 var soakBuilds = flag.String("soak.builds", "", "folder that keeps the programs of earlier builds for further runs; a folder of the test's own where it is empty")
 
-// build is the program of an earlier commit, and the template of the settings that were deployed with it.
+// build is the executable of an earlier commit, and the template of the settings that were deployed with it.
 type build struct {
 	commit, program, template string
 }
@@ -28,8 +28,9 @@
 	return string(found[1])
 }
 
-// buildOf builds the program of a commit from the history, unless an earlier run has left it; a history without the commit fails the test.
-func buildOf(t *testing.T, commit string) *build {
+// buildCommit builds the executable of a commit from the git history, or returns the one that an earlier run has kept.
+// The test fails if the history lacks the commit.
+func buildCommit(t *testing.T, commit string) *build {
 	root := t.TempDir()
 	if *soakBuilds != "" {
 		root = filepath.Join(*soakBuilds, commit)
@@ -44,11 +45,11 @@
 	pipe, err := archive.StdoutPipe()
 	must.NoError(t, err)
 	unpack.Stdin = pipe
-	var told strings.Builder
-	archive.Stderr = &told
+	var stderr strings.Builder
+	archive.Stderr = &stderr
 	must.NoError(t, archive.Start())
 	must.NoError(t, unpack.Run())
-	must.NoError(t, archive.Wait(), must.Sprintf("the history lacks commit %s: %s", commit, &told))
+	must.NoError(t, archive.Wait(), must.Sprintf("the history lacks commit %s: %s", commit, &stderr))
 	compile := exec.Command("go", "build", "-o", b.program, "./cmd/vaneyoked")
 	compile.Dir = root
 	text, err := compile.CombinedOutput()
--- a/cmd/vaneyoked/soak_callers_test.go
+++ b/cmd/vaneyoked/soak_callers_test.go
@@ -12,11 +12,11 @@
 	"github.com/vaneyoke/vaneyoke/platform/platformtest"
 )
 
-// send makes one attempt at a random node.
+// send sends a call to a random node.
 func (s *soak) send(ctx context.Context, rng *rand.Rand, call platformtest.Call) (id string, res *http.Response, err error) {
 	call.ID = fmt.Sprintf("attempt-%d", s.ids.Add(1))
 	call.Host, call.Key = soakHost, soakKey
-	req, err := call.Request(ctx, s.node(rng).listen)
+	req, err := call.Request(ctx, s.randomNode(rng).listen)
 	if err != nil {
 		return call.ID, nil, err
 	}
@@ -24,7 +24,7 @@
 	return call.ID, res, err
 }
 
-// call asks a service once, and keeps how it ended where the call may run at most once.
+// call sends a call to a service, and records its outcome if it may run at most once.
 func (s *soak) call(ctx context.Context, rng *rand.Rand, path string) {
 	id, res, err := s.send(ctx, rng, platformtest.Call{Path: path})
 	status := 0
@@ -42,11 +42,11 @@
 	if strings.HasPrefix(path, "/buy/") {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.once = append(s.once, onceCall{id: id, status: status})
+		s.atMostOnce = append(s.atMostOnce, atMostOnceCall{id: id, status: status})
 	}
 }
 
-// stream asks for a stream until it is whole, and goes on after the last whole event wherever it broke.
+// stream requests a stream until it is complete. After a broken attempt it resumes after the last complete event.
 func (s *soak) stream(ctx context.Context, rng *rand.Rand) {
 	after := 0
 	for try := 0; try < 20 && ctx.Err() == nil; try++ {
--- a/cmd/vaneyoked/soak_crash_test.go
+++ b/cmd/vaneyoked/soak_crash_test.go
@@ -19,76 +19,76 @@
 )
 
 const (
-	crashNodes   = 4
-	crashCallers = 6
-	crashRounds  = 4
-	crashing     = "a body that ends the engine which begins to run it"
-	crashEvery   = 60 * time.Millisecond // between two repeats
-	downFor      = 250 * time.Millisecond
-	calmAfter    = 2 * time.Second // after which nodes that were disturbed know what they have to
-	calmFor      = time.Second
-	mostLater    = 3 // times that engines may still get the request while nothing is disturbed
+	crashNodes     = 4
+	crashCallers   = 6
+	crashRounds    = 4
+	crashingBody   = "a body that ends the engine which begins to run it"
+	crashInterval  = 60 * time.Millisecond // between two crashing requests of a caller
+	engineDowntime = 250 * time.Millisecond
+	recoveryTime   = 2 * time.Second // until nodes have learned after a disruption which content is quarantined
+	quietTime      = time.Second
+	maxLateRuns    = 3 // times that engines may still get the crashing request while there are no disruptions
 )
 
-// crashSoak has a request come again and again that ends the engines which begin to run it.
+// crashSoak repeats a request that crashes each engine which starts to run it.
 type crashSoak struct {
 	*soak
-	crashes int
-	later   int
-	calm    []span // while nothing was disturbed, after the third crash
+	crashes  int
+	lateRuns int
+	quiet    []span // without disruptions, after the third crash
 }
 
-// TestSoakCrashing has a request that ends engines come again at any node while nodes are killed, stopped, frozen and added, the store is
-// away, and engines are lost for other reasons: once all have been undisturbed for a while it reaches no engine more than three
-// times, over the whole soak; what others ask is served, and never taken for it.
+// TestSoakCrashing repeats a request that crashes engines at random nodes while nodes are killed, stopped, frozen and added, the store is
+// unavailable, and engines are lost for other reasons. In the quiet times after the nodes have recovered, it may reach engines at most
+// three times over the whole soak. Requests with other content must be served and never be quarantined.
 func TestSoakCrashing(t *testing.T) {
-	s := &crashSoak{soak: newSoak(t, either(*soakNodes, crashNodes), lameBriefly...)}
+	s := &crashSoak{soak: newSoak(t, orDefault(*soakNodes, crashNodes), shortLameDuck...)}
 	for _, e := range s.engines {
-		s.arm(e)
+		s.crashOnBody(e)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	for c := range either(*soakCallers, crashCallers) {
+	for c := range orDefault(*soakCallers, crashCallers) {
 		rng := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
-		callers.Go(func() { s.innocent(ctx, rng) })
+		callers.Go(func() { s.sendHarmless(ctx, rng) })
 	}
 	for _, path := range []string{"/tell/x", "/look/x"} {
 		rng := rand.New(rand.NewPCG(*soakSeed, uint64(len(path))<<40))
-		callers.Go(func() { s.repeat(ctx, rng, path) })
+		callers.Go(func() { s.sendCrashing(ctx, rng, path) })
 	}
 	rng := rand.New(rand.NewPCG(*soakSeed, 1<<32))
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryTime)
 	for range crashRounds {
-		s.stayCalm()
+		s.stayQuiet()
 		for range 1 + rng.IntN(3) {
-			s.disturb(rng)
+			s.disrupt(rng)
 		}
-		s.untilServed()
-		time.Sleep(calmAfter)
+		s.waitServed()
+		time.Sleep(recoveryTime)
 	}
-	s.stayCalm()
+	s.stayQuiet()
 	stop()
 	callers.Wait()
-	s.count()
-	s.t.Logf("%d engines ended, %d of the runs while nothing was disturbed", s.crashes, s.later)
+	s.countLateRuns()
+	s.t.Logf("%d engines crashed, %d runs of the crashing request in quiet times", s.crashes, s.lateRuns)
 	must.GreaterEq(t, 3, s.crashes)
-	must.LessEq(t, 2*mostLater, s.later) // two requests
+	must.LessEq(t, 2*maxLateRuns, s.lateRuns) // two callers with different paths
 	s.check()
 }
 
-// arm has an engine end under the request, and come back: under its id, or in its place another one.
-func (s *crashSoak) arm(e *platformtest.Engine) {
-	e.CrashOn(crashing, func() {
+// crashOnBody makes an engine crash on the crashing request. Alternately the engine restarts under its id, or another one replaces it.
+func (s *crashSoak) crashOnBody(e *platformtest.Engine) {
+	e.CrashOn(crashingBody, func() {
 		s.mu.Lock()
 		s.crashes++
 		again := s.crashes%2 == 0
 		s.mu.Unlock()
-		time.Sleep(downFor)
+		time.Sleep(engineDowntime)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		i := slices.Index(s.live, e)
 		if i < 0 {
-			return // it was replaced meanwhile
+			return // it was replaced in the meantime
 		}
 		if again && e.Again() {
 			s.store.ListEngine(e, false)
@@ -97,30 +97,30 @@
 		s.store.UnlistEngine(e)
 		if next := e.Follow(fmt.Sprintf("i-%d", len(s.engines))); next != nil {
 			s.engines, s.live[i] = append(s.engines, next), next
-			s.arm(next)
+			s.crashOnBody(next)
 			s.store.ListEngine(next, false)
 		}
 	})
 }
 
-// repeat sends the request again and again until ctx ends.
-func (s *crashSoak) repeat(ctx context.Context, rng *rand.Rand, path string) {
-	for wait(ctx, crashEvery) {
-		_, res, err := s.send(ctx, rng, platformtest.Call{Path: path, Stream: path == "/tell/x", Prompt: "aa", Body: crashing, Wait: time.Second})
+// sendCrashing repeats the crashing request until ctx ends.
+func (s *crashSoak) sendCrashing(ctx context.Context, rng *rand.Rand, path string) {
+	for sleepContext(ctx, crashInterval) {
+		_, res, err := s.send(ctx, rng, platformtest.Call{Path: path, Stream: path == "/tell/x", Prompt: "aa", Body: crashingBody, Wait: time.Second})
 		if err != nil {
 			continue
 		}
 		_, _ = io.Copy(io.Discard, res.Body)
 		_ = res.Body.Close()
 		if res.StatusCode == http.StatusOK {
-			s.fail("the request that ends engines was answered")
+			s.fail("the request that crashes engines was answered")
 		}
 	}
 }
 
-// innocent asks for what ends no engine, the same as others and what nobody else asks, until ctx ends.
-func (s *crashSoak) innocent(ctx context.Context, rng *rand.Rand) {
-	taken := vaneyoke.CodeQuarantined.Info().Text
+// sendHarmless sends requests that crash no engine until ctx ends, some with a body that other callers send too and some with a unique one.
+func (s *crashSoak) sendHarmless(ctx context.Context, rng *rand.Rand) {
+	quarantined := vaneyoke.CodeQuarantined.Info().Text
 	for ctx.Err() == nil {
 		body := []string{"", fmt.Sprint(rng.Uint64())}[rng.IntN(2)]
 		path := []string{"/tell/x", "/look/x", "/buy/x"}[rng.IntN(3)]
@@ -132,8 +132,8 @@
 			status = res.StatusCode
 		}
 		switch {
-		case strings.Contains(string(text), taken):
-			s.fail("%s %s was taken for a request that ends engines", path, id)
+		case strings.Contains(string(text), quarantined):
+			s.fail("%s %s was quarantined, though it crashes no engine", path, id)
 		case err == nil && status == http.StatusOK:
 			s.served.Add(1)
 			if path == "/tell/x" && string(text) != platformtest.StreamText(0) {
@@ -142,67 +142,67 @@
 		}
 		if path == "/buy/x" {
 			s.mu.Lock()
-			s.once = append(s.once, onceCall{id: id, status: status})
+			s.atMostOnce = append(s.atMostOnce, atMostOnceCall{id: id, status: status})
 			s.mu.Unlock()
 		}
 	}
 }
 
-// stayCalm disturbs nothing for a while.
-func (s *crashSoak) stayCalm() {
+// stayQuiet waits for a while without disruptions, and records when.
+func (s *crashSoak) stayQuiet() {
 	began := time.Now()
-	time.Sleep(calmFor)
-	s.calm = append(s.calm, span{began, time.Now()})
+	time.Sleep(quietTime)
+	s.quiet = append(s.quiet, span{began, time.Now()})
 }
 
-// disturb brings about one trouble.
-func (s *crashSoak) disturb(rng *rand.Rand) {
-	n := s.node(rng)
+// disrupt causes one random disruption.
+func (s *crashSoak) disrupt(rng *rand.Rand) {
+	n := s.randomNode(rng)
 	switch rng.IntN(8) {
 	case 0:
-		s.killAndStart(n)
+		s.killAndRestart(n)
 	case 1:
-		s.stopAndStart(n)
+		s.stopAndRestart(n)
 	case 2:
-		n.freeze(time.Duration(rng.Int64N(int64(calmAfter))))
+		n.freeze(time.Duration(rng.Int64N(int64(recoveryTime))))
 	case 3:
-		s.killAndStartAll()
+		s.killAndRestartAll()
 	case 4:
-		s.withoutStore(time.Duration(rng.Int64N(int64(2*calmAfter))), func() {
+		s.withoutStore(time.Duration(rng.Int64N(int64(2*recoveryTime))), func() {
 			if rng.IntN(2) == 0 {
-				s.killAndStart(n)
-				time.Sleep(calmFor)
+				s.killAndRestart(n)
+				time.Sleep(quietTime)
 			}
 		})
 	case 5:
-		s.join()
+		s.addReadyNode()
 	case 6:
-		s.lose(rng, 1)
+		s.loseEngines(rng, 1)
 	case 7:
-		s.lose(rng, 3)
+		s.loseEngines(rng, 3)
 	}
 }
 
-// lose ends engines at the same time, for reasons of their own, and lists others.
-func (s *crashSoak) lose(rng *rand.Rand, count int) {
+// loseEngines ends engines at the same time, without a crashing request, and lists others in their place.
+func (s *crashSoak) loseEngines(rng *rand.Rand, count int) {
 	for range count {
 		s.replaceEngine(rng, false)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.live {
-		s.arm(e)
+		s.crashOnBody(e)
 	}
 }
 
-// count counts the runs of the request while nothing was disturbed.
-func (s *crashSoak) count() {
+// countLateRuns counts the runs of the crashing request that began in quiet times.
+func (s *crashSoak) countLateRuns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.engines {
 		for _, run := range e.Runs() {
-			if run.Body == crashing && slices.ContainsFunc(s.calm, func(c span) bool { return run.Began.After(c.from) && run.Began.Before(c.to) }) {
-				s.later++
+			if run.Body == crashingBody && slices.ContainsFunc(s.quiet, func(c span) bool { return run.Began.After(c.from) && run.Began.Before(c.to) }) {
+				s.lateRuns++
 			}
 		}
 	}
--- a/cmd/vaneyoked/soak_duties_test.go
+++ b/cmd/vaneyoked/soak_duties_test.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	dutyNodes   = 3
-	dutyCallers = 4
-	dutyRounds  = 5
-	dutyLease   = time.Second            // as the settings of a soak have it
-	dutyThaw    = 500 * time.Millisecond // after a node woke, in which its calls do not count
-	dutyReports = 3                      // that have to come at last
+	dutyNodes      = 3
+	dutyCallers    = 4
+	dutyRounds     = 5
+	dutyLease      = time.Second            // as in the settings of a soak
+	dutyWakeSlack  = 500 * time.Millisecond // after a frozen node resumes, in which its calls do not count
+	minDutyReports = 3                      // that have to be received at the start and after the last disruption
 )
 
-// dutySoak has holders of a duty be stopped, killed, and wait for the store's answers.
+// dutySoak freezes and kills the holder of a duty, and delays the store's answers to it.
 type dutySoak struct {
 	*soak
-	fenced bool
+	checksTokens bool
 }
 
-// TestSoakDuties has the store hold back its answers to writes that it has carried out, and the holder of the reports of usage be stopped across its lease
-// or killed and started again at once, before a platform that checks tokens and one that does not: no token has two senders, no window two reports that
-// differ, no report comes with a lower token where nobody checks it, and reports come in the end.
+// TestSoakDuties makes the store delay its answers to writes that it has committed, and freezes the holder of the usage reports beyond its lease, or kills
+// and restarts it at once. It runs with a platform that checks fencing tokens and with one that does not. No token may have two senders, no window two
+// different reports, no report a lower token than an earlier one where the platform does not check it, and reports must still arrive in the end.
 func TestSoakDuties(t *testing.T) {
 	for name, fenced := range map[string]bool{"tokens are checked": true, "tokens are not checked": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			replace := lameBriefly
+			replace := shortLameDuck
 			if !fenced {
 				replace = append([]string{"fencing = true\n", ""}, replace...)
 			}
-			s := &dutySoak{soak: newSoak(t, either(*soakNodes, dutyNodes), replace...), fenced: fenced}
+			s := &dutySoak{soak: newSoak(t, orDefault(*soakNodes, dutyNodes), replace...), checksTokens: fenced}
 			if !fenced {
 				s.store.Cloud().TrustTokens()
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var callers sync.WaitGroup
-			for c := range either(*soakCallers, dutyCallers) {
+			for c := range orDefault(*soakCallers, dutyCallers) {
 				rng := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
 				callers.Go(func() {
-					for wait(ctx, pushPause) {
+					for sleepContext(ctx, pushPause) {
 						s.call(ctx, rng, []string{"/look/x", "/buy/x"}[rng.IntN(2)])
 					}
 				})
 			}
 			rng := rand.New(rand.NewPCG(*soakSeed, 4<<32))
-			s.untilReported()
+			s.waitReported()
 			for range dutyRounds {
-				s.disturb(rng)
+				s.disrupt(rng)
 			}
-			s.untilReported()
-			s.untilServed()
+			s.waitReported()
+			s.waitServed()
 			stop()
 			callers.Wait()
 			s.check()
@@ -67,62 +67,63 @@
 	}
 }
 
-// untilReported waits until some more reports have been taken.
-func (s *dutySoak) untilReported() {
+// waitReported waits until the platform has accepted some more reports.
+func (s *dutySoak) waitReported() {
 	before := len(s.store.Cloud().Reports())
-	for start := time.Now(); len(s.store.Cloud().Reports()) < before+dutyReports; time.Sleep(10 * time.Millisecond) {
-		must.Less(s.t, patient, time.Since(start))
+	for start := time.Now(); len(s.store.Cloud().Reports()) < before+minDutyReports; time.Sleep(10 * time.Millisecond) {
+		must.Less(s.t, maxWait, time.Since(start))
 	}
 }
 
-// holder returns the node that reported last.
+// holder returns the node that sent the last report.
 func (s *dutySoak) holder() *soakNode {
 	reports := s.store.Cloud().Reports()
-	for _, n := range s.all() {
+	for _, n := range s.allNodes() {
 		if n.name == reports[len(reports)-1].Holder {
 			return n
 		}
 	}
-	return s.all()[0]
+	return s.allNodes()[0]
 }
 
-// disturb brings about one trouble of the holder.
-func (s *dutySoak) disturb(rng *rand.Rand) {
-	long := func(leases float64) time.Duration { return time.Duration(leases * rng.Float64() * float64(dutyLease)) }
+// disrupt causes one random disruption of the holder.
+func (s *dutySoak) disrupt(rng *rand.Rand) {
+	randomTime := func(leases float64) time.Duration { return time.Duration(leases * rng.Float64() * float64(dutyLease)) }
 	n := s.holder()
 	switch rng.IntN(5) {
 	case 0:
-		s.killAndStart(n)
+		s.killAndRestart(n)
 	case 1:
-		s.stop(n, long(3))
-	case 2, 3: // the write is carried out, and its answer comes while the node is stopped or after its lease is over
-		s.store.HoldAnswers(long(2.5))
+		s.freezeNode(n, randomTime(3))
+	case 2, 3: // the write is committed, and its answer arrives while the node is frozen or after its lease has expired
+		s.store.HoldAnswers(randomTime(2.5))
 		time.Sleep(dutyLease / 2)
 		if rng.IntN(2) == 0 {
-			s.stop(n, long(3))
+			s.freezeNode(n, randomTime(3))
 		}
 		s.store.HoldAnswers(0)
 	case 4:
-		s.store.HoldAnswers(long(2.5))
+		s.store.HoldAnswers(randomTime(2.5))
 		time.Sleep(dutyLease / 2)
-		s.killAndStart(n)
+		s.killAndRestart(n)
 		s.store.HoldAnswers(0)
 	}
-	time.Sleep(long(2))
+	time.Sleep(randomTime(2))
 }
 
-// stop has a node stand still for a while, and notes when.
-func (s *dutySoak) stop(n *soakNode, d time.Duration) {
+// freezeNode suspends a node for d, and records when.
+func (s *dutySoak) freezeNode(n *soakNode, d time.Duration) {
 	from := time.Now()
 	n.freeze(d)
-	n.note(&n.disrupted, from, time.Now().Add(dutyThaw))
+	n.addSpan(&n.disrupted, from, time.Now().Add(dutyWakeSlack))
 }
 
-// checkTokens looks at reports that came with a lower token than one before, where nobody refuses these.
+// checkTokens fails on reports with a lower token than an earlier one, from a platform that does not refuse them.
+// Reports of a holder that was disrupted at that time do not count.
 func (s *dutySoak) checkTokens() {
 	var lower []platformtest.UsageReport
 	for _, r := range s.store.Cloud().Lower() {
-		for _, n := range s.all() {
+		for _, n := range s.allNodes() {
 			if n.name == r.Holder && !n.disruptedDuring(span{r.At, r.At}) {
 				lower = append(lower, r)
 			}
--- a/cmd/vaneyoked/soak_faults_test.go
+++ b/cmd/vaneyoked/soak_faults_test.go
@@ -27,14 +27,14 @@
 	)
 }
 
-// fault brings about one fault, and undoes it where it would last.
-func (s *soak) fault(rng *rand.Rand) {
-	n := s.node(rng)
+// injectFault causes one random fault, and ends it if it would last.
+func (s *soak) injectFault(rng *rand.Rand) {
+	n := s.randomNode(rng)
 	switch rng.IntN(10) {
 	case 0:
-		s.killAndStart(n)
+		s.killAndRestart(n)
 	case 1:
-		s.stopAndStart(n)
+		s.stopAndRestart(n)
 	case 2:
 		n.signal(syscall.SIGHUP)
 	case 3:
@@ -42,7 +42,7 @@
 	case 4, 5:
 		s.replaceEngine(rng, rng.IntN(2) == 0)
 	case 6:
-		s.engine(rng).Spoil(s.engineFault(rng), s.engineFault(rng))
+		s.randomEngine(rng).Spoil(s.randomEngineFault(rng), s.randomEngineFault(rng))
 	case 7:
 		s.withoutStore(3*faultPause, func() {})
 	case 8:
@@ -52,22 +52,22 @@
 	}
 }
 
-func (s *soak) engine(rng *rand.Rand) *platformtest.Engine {
+func (s *soak) randomEngine(rng *rand.Rand) *platformtest.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.live[rng.IntN(len(s.live))]
 }
 
-func (s *soak) engineFault(rng *rand.Rand) platformtest.Fault {
+func (s *soak) randomEngineFault(rng *rand.Rand) platformtest.Fault {
 	return []platformtest.Fault{
 		{Reset: true}, {BreakAt: 1 + rng.IntN(platformtest.Events)}, {BreakAt: 5, HalfEvent: true}, {Status: 500}, {Status: 503},
 		{Decline: 503}, {OtherID: "other"}, {Unsigned: true}, {SilentAt: 3}, {Delay: 50 * time.Millisecond},
 	}[rng.IntN(10)]
 }
 
-// replaceEngine ends an engine, announced or not, and starts another one.
+// replaceEngine starts a new engine and ends a random one. If announced, that one is listed as leaving first.
 func (s *soak) replaceEngine(rng *rand.Rand, announced bool) {
-	e := s.engine(rng)
+	e := s.randomEngine(rng)
 	s.addEngine(e.Service, e.Zone)
 	if announced {
 		s.store.ListEngine(e, true)
--- a/cmd/vaneyoked/soak_limits_test.go
+++ b/cmd/vaneyoked/soak_limits_test.go
@@ -18,100 +18,101 @@
 )
 
 const (
-	limitNodes   = 4
-	limitCallers = 8
-	limitRounds  = 5
-	limitPause   = 60 * time.Millisecond // between two calls of a caller
-	limitUsed    = 0.7                   // share of what engines offer that is used at the end, when nothing is disturbed
-	limitCalm    = 4 * time.Second
+	limitNodes        = 4
+	limitCallers      = 8
+	limitRounds       = 5
+	limitPause        = 60 * time.Millisecond // between two calls of a caller
+	minUtilization    = 0.7                   // fraction of the engines' declared rates that has to be used at the end, without disruptions
+	utilizationWindow = 4 * time.Second
 )
 
-// limitBound is what an engine that names a limit may get, from the first second after it was named on.
+// limitBound is the load that an engine which declares a limit may get, beginning one second after it is declared.
 var limitBound = platformtest.LimitBound{Window: 4 * time.Second, Share: 1.5, Over: 5, Known: time.Second}
 
-// limitSoak has engines name limits that change and end.
+// limitSoak runs engines that declare limits, change them and withdraw them.
 type limitSoak struct {
 	*soak
-	services []*platformtest.Engine // that name limits now and then
-	rates    map[*platformtest.Engine]float64
-	refused  atomic.Int64
+	limited []*platformtest.Engine // engines that declare limits at times
+	rates   map[*platformtest.Engine]float64
+	refused atomic.Int64
 }
 
-// TestSoakLimits has engines name limits that change and end, and start again under their ids, while nodes are killed, stopped, frozen, added and
-// taken away, and the store is away: no engine gets more than its limit allows, whoever sends it, and what the engines offer is used in the end.
+// TestSoakLimits runs engines that declare limits, change and withdraw them and restart under their ids, while nodes are killed, stopped, frozen, added
+// and removed, and the store is unavailable. No engine may get more than its limit allows, from all nodes together, and in the end most of the declared
+// rates must be used.
 func TestSoakLimits(t *testing.T) {
-	s := &limitSoak{soak: newSoak(t, either(*soakNodes, limitNodes), lameBriefly...), rates: map[*platformtest.Engine]float64{}}
+	s := &limitSoak{soak: newSoak(t, orDefault(*soakNodes, limitNodes), shortLameDuck...), rates: map[*platformtest.Engine]float64{}}
 	for _, e := range s.live {
 		e.SpoilAll(platformtest.Fault{Delay: 5 * time.Millisecond, Pause: time.Millisecond})
-		if e.Service == "shop" || len(s.services) == 0 {
-			s.services = append(s.services, e)
+		if e.Service == "shop" || len(s.limited) == 0 {
+			s.limited = append(s.limited, e)
 		}
 	}
 	rng := rand.New(rand.NewPCG(*soakSeed, 1<<32))
-	s.name(rng)
+	s.changeLimits(rng)
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	for c := range either(*soakCallers, limitCallers) {
-		own := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
-		callers.Go(func() { s.ask(ctx, own) })
+	for c := range orDefault(*soakCallers, limitCallers) {
+		callerRNG := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
+		callers.Go(func() { s.sendCalls(ctx, callerRNG) })
 	}
 	for range limitRounds {
 		time.Sleep(limitBound.Known)
 		for range 1 + rng.IntN(3) {
-			s.disturb(rng)
+			s.disrupt(rng)
 		}
-		s.untilServed()
+		s.waitServed()
 	}
-	for _, e := range s.services {
-		s.set(e, 1+3*rng.Float64()) // all at once
+	for _, e := range s.limited {
+		s.setLimit(e, 1+3*rng.Float64()) // all engines at the same time
 	}
-	s.untilUsed()
+	s.waitUtilized()
 	stop()
 	callers.Wait()
 	s.check()
 	s.checkLimits()
 }
 
-// untilUsed waits until most of what the engines offer is used: what keepers give that were taken away is lost until the others have found
-// out.
-func (s *limitSoak) untilUsed() {
+// waitUtilized waits until most of the engines' declared rates are used. The permits of limit owners that were removed are lost until the other
+// nodes have noticed the removal.
+func (s *limitSoak) waitUtilized() {
 	for start := time.Now(); ; {
 		before, began := s.arrivals(), time.Now()
-		time.Sleep(limitCalm)
+		time.Sleep(utilizationWindow)
 		got, offered := s.arrivals()-before, 0.0
-		for _, e := range s.services {
+		for _, e := range s.limited {
 			if e.Service == "shop" {
 				offered += s.rates[e] * time.Since(began).Seconds()
 			}
 		}
-		if float64(got) >= limitUsed*offered {
-			s.t.Logf("%d refused; at last %d of %.1f that the engines offered were used, after %s", s.refused.Load(), got, offered, time.Since(start))
+		if float64(got) >= minUtilization*offered {
+			s.t.Logf("%d refused; in the end %d of the %.1f requests that the declared limits allow were sent, after %s", s.refused.Load(), got, offered, time.Since(start))
 			return
 		}
-		must.Less(s.t, patient, time.Since(start), must.Sprintf("%d of %.1f that the engines offer are used", got, offered))
+		must.Less(s.t, maxWait, time.Since(start), must.Sprintf("only %d of the %.1f requests that the declared limits allow were sent", got, offered))
 	}
 }
 
-// set has an engine name a limit, 0 for none.
-func (s *limitSoak) set(e *platformtest.Engine, rate float64) {
+// setLimit makes an engine declare a limit, 0 for none.
+func (s *limitSoak) setLimit(e *platformtest.Engine, rate float64) {
 	s.rates[e] = rate
 	e.NameLimit(rate)
 }
 
-// name has engines name other limits, or none.
-func (s *limitSoak) name(rng *rand.Rand) {
-	for _, e := range s.services {
+// changeLimits changes or withdraws the limits of random engines.
+func (s *limitSoak) changeLimits(rng *rand.Rand) {
+	for _, e := range s.limited {
 		if rng.IntN(2) == 0 {
-			s.set(e, 0.5+5*rng.Float64())
+			s.setLimit(e, 0.5+5*rng.Float64())
 		} else if rng.IntN(3) == 0 {
-			s.set(e, 0)
+			s.setLimit(e, 0)
 		}
 	}
 }
 
-// ask sends calls and streams until ctx ends. A refusal has to say when to come back.
-func (s *limitSoak) ask(ctx context.Context, rng *rand.Rand) {
-	for wait(ctx, limitPause) {
+// sendCalls sends calls and streams until ctx ends. Each refusal must have a Retry-After header.
+func (s *limitSoak) sendCalls(ctx context.Context, rng *rand.Rand) {
+	for sleepContext(ctx, limitPause) {
 		path := []string{"/look/x", "/buy/x", "/tell/x"}[rng.IntN(3)]
 		call := platformtest.Call{Path: path, Stream: path == "/tell/x", Prompt: fmt.Sprintf("%x", rng.Uint32()), Wait: 2 * time.Second}
 		id, res, err := s.send(ctx, rng, call)
@@ -123,12 +124,12 @@
 		}
 		s.mu.Lock()
 		if path == "/buy/x" {
-			s.once = append(s.once, onceCall{id: id, status: status})
+			s.atMostOnce = append(s.atMostOnce, atMostOnceCall{id: id, status: status})
 		}
 		if err == nil && status == http.StatusServiceUnavailable {
 			s.refused.Add(1)
 			if seconds, parseErr := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); parseErr != nil || seconds <= 0 {
-				s.wrong = append(s.wrong, fmt.Sprintf("%s %s was refused without a time to come back", path, id))
+				s.violations = append(s.violations, fmt.Sprintf("%s %s was refused without a valid Retry-After header", path, id))
 			}
 		}
 		s.mu.Unlock()
@@ -138,50 +139,50 @@
 	}
 }
 
-// disturb brings about one trouble.
-func (s *limitSoak) disturb(rng *rand.Rand) {
-	n := s.node(rng)
+// disrupt causes one random disruption or change of limits.
+func (s *limitSoak) disrupt(rng *rand.Rand) {
+	n := s.randomNode(rng)
 	switch rng.IntN(9) {
 	case 0:
-		s.killAndStart(n)
+		s.killAndRestart(n)
 	case 1:
-		s.stopAndStart(n)
+		s.stopAndRestart(n)
 	case 2:
 		n.freeze(time.Duration(rng.Int64N(int64(2 * time.Second))))
 	case 3:
-		s.killAndStartAll()
+		s.killAndRestartAll()
 	case 4:
 		s.withoutStore(time.Duration(rng.Int64N(int64(3*time.Second))), func() {
 			if rng.IntN(2) == 0 {
-				s.killAndStart(n)
+				s.killAndRestart(n)
 			}
-			s.name(rng)
+			s.changeLimits(rng)
 			time.Sleep(limitBound.Known)
 		})
 	case 5:
-		s.join()
+		s.addReadyNode()
 	case 6:
-		if len(s.all()) > 2 {
+		if len(s.allNodes()) > 2 {
 			s.removeNode(n)
 			n.kill()
 		}
 	case 7:
-		s.name(rng)
+		s.changeLimits(rng)
 	case 8:
-		e := s.services[rng.IntN(len(s.services))]
+		e := s.limited[rng.IntN(len(s.limited))]
 		e.Crash()
 		if rng.IntN(2) == 0 {
-			s.set(e, 0) // the next life names none
+			s.setLimit(e, 0) // the next incarnation declares none
 		}
-		time.Sleep(downFor)
+		time.Sleep(engineDowntime)
 		must.True(s.t, e.Again())
 		s.store.ListEngine(e, false)
 	}
 }
 
-// arrivals returns how many requests the engines of the call service have got.
+// arrivals returns the number of requests that the engines of the call service have received.
 func (s *limitSoak) arrivals() (n int) {
-	for _, e := range s.services {
+	for _, e := range s.limited {
 		if e.Service == "shop" {
 			n += len(e.Arrivals())
 		}
@@ -189,9 +190,9 @@
 	return n
 }
 
-// checkLimits holds what engines got against the limits that they named.
+// checkLimits compares the requests that engines received with the limits that they declared.
 func (s *limitSoak) checkLimits() {
-	for _, e := range s.services {
+	for _, e := range s.limited {
 		load, ok := e.Heaviest(limitBound)
 		s.t.Logf("%s: at most %d in %s, allowed %.1f", e.ID, load.Got, limitBound.Window, load.Allowed)
 		must.LessEq(s.t, load.Allowed, float64(load.Got), must.Sprint(e.ID, ok, load.From))
--- a/cmd/vaneyoked/soak_nodes_test.go
+++ b/cmd/vaneyoked/soak_nodes_test.go
@@ -16,43 +16,43 @@
 	"time"
 )
 
-// soakNode is one process and its successors at the same address.
+// soakNode is a node: one process at a time, at an address that stays.
 type soakNode struct {
 	name, listen, readiness, settings, log string
 
 	replace []string // replacements in the deployed settings
 
-	process *process // of whoever brings about the node's faults
+	process *process // used only by the goroutine that disrupts the node
 
-	mu        sync.Mutex
-	life      life   // as callers see it
-	stops     []span // from SIGTERM to the end of the process
-	disrupted []span // by SIGKILL or SIGSTOP
-	busy      bool
+	mu          sync.Mutex
+	incarnation incarnation // as callers see it
+	stops       []span      // from SIGTERM to the end of the process
+	disrupted   []span      // by SIGKILL or SIGSTOP
+	busy        bool
 }
 
-// process is one life of a node.
+// process is one process of a node.
 type process struct {
 	cmd     *exec.Cmd
 	ended   chan struct{}
-	endedAt time.Time // these two are set before ended is closed
+	endedAt time.Time // endedAt and err are set before ended is closed
 	err     error
 }
 
-// life is one of the lives of a node.
-type life struct {
-	number int    // of its processes so far
-	build  *build // whose program runs; nil for that of the tests
+// incarnation identifies one process of a node.
+type incarnation struct {
+	number int    // of the node's processes so far
+	build  *build // whose executable runs; nil for the one under test
 }
 
-// span is a stretch of time.
+// span is an interval of time.
 type span struct{ from, to time.Time }
 
-func (s span) touches(other span) bool { return !s.from.After(other.to) && !other.from.After(s.to) }
+func (s span) overlaps(other span) bool { return !s.from.After(other.to) && !other.from.After(s.to) }
 
-// loopback returns an address of the machine itself from which no connections come, so that it stays free between two
-// processes of a node.
-func loopback() (string, error) {
+// freeLoopbackAddress returns a random address in 127.0.0.0/8. Outgoing connections do not use it as their source, so that the port
+// stays free between two processes of a node.
+func freeLoopbackAddress() (string, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
 	if err != nil {
 		return "", err
@@ -60,25 +60,25 @@
 	return l.Addr().String(), l.Close()
 }
 
-// addNode writes the settings of one more node, with replacements in the deployed ones.
+// addNode adds a node and writes its settings: the deployed ones with the given replacements. It does not start the node.
 func (s *soak) addNode(replace ...string) (*soakNode, error) {
 	s.mu.Lock()
-	s.named++
-	n := &soakNode{name: fmt.Sprintf("edge-%d", s.named)}
-	zone := []string{"a", "b"}[s.named%2]
+	s.lastNodeNumber++
+	n := &soakNode{name: fmt.Sprintf("edge-%d", s.lastNodeNumber)}
+	zone := []string{"a", "b"}[s.lastNodeNumber%2]
 	s.mu.Unlock()
 	n.settings, n.log = filepath.Join(s.logs, n.name+".ini"), filepath.Join(s.logs, n.name+".log")
-	_ = os.Remove(n.log) // of an earlier run
+	_ = os.Remove(n.log) // left by an earlier run
 	var errs [3]error
-	n.listen, errs[0] = loopback()
-	n.readiness, errs[1] = loopback()
-	peers, err := loopback()
+	n.listen, errs[0] = freeLoopbackAddress()
+	n.readiness, errs[1] = freeLoopbackAddress()
+	peers, err := freeLoopbackAddress()
 	errs[2] = err
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
 	}
 	n.replace = append(slices.Clone(replace), "peers = 127.0.0.1:0\n", "peers = "+peers+"\n", "vm = edge-1\n", "vm = "+n.name+"\n", "data_centre = a\n", "data_centre = "+zone+"\n")
-	if err := s.use(n, nil); err != nil {
+	if err := s.setBuild(n, nil); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -92,33 +92,33 @@
 	return n, nil
 }
 
-// use has a node run the program of a build from its next start on, by the settings that are deployed with it.
-func (s *soak) use(n *soakNode, b *build) error {
+// setBuild makes a node run the executable of a build from its next start on, with the settings that were deployed with that build.
+func (s *soak) setBuild(n *soakNode, b *build) error {
 	template := "../../deploy/node.ini"
 	if b != nil {
 		template = b.template
 	}
 	n.mu.Lock()
-	n.life.build = b
+	n.incarnation.build = b
 	n.mu.Unlock()
-	text := filledTemplateOf(s.t, template, s.store.Address(), n.listen, n.readiness, "127.0.0.1:0")
+	text := renderSettings(s.t, template, s.store.Address(), n.listen, n.readiness, "127.0.0.1:0")
 	return os.WriteFile(n.settings, []byte(strings.NewReplacer(n.replace...).Replace(text)), 0o600)
 }
 
-// removeNode has callers sent to a node no more.
+// removeNode stops sending callers to a node.
 func (s *soak) removeNode(n *soakNode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes = slices.DeleteFunc(slices.Clone(s.nodes), func(other *soakNode) bool { return other == n })
 }
 
-func (s *soak) all() []*soakNode {
+func (s *soak) allNodes() []*soakNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.nodes)
 }
 
-func (s *soak) node(rng *rand.Rand) *soakNode {
+func (s *soak) randomNode(rng *rand.Rand) *soakNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodes[rng.IntN(len(s.nodes))]
@@ -126,7 +126,7 @@
 
 func (n *soakNode) readyURL() string { return "http://" + n.readiness + "/readyz" }
 
-// start starts a process, whose output goes to the node's log.
+// start starts a process that writes to the node's log.
 func (n *soakNode) start() error {
 	log, err := os.OpenFile(n.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -134,10 +134,10 @@
 	}
 	defer func() { _ = log.Close() }()
 	p := &process{cmd: exec.Command(os.Args[0]), ended: make(chan struct{})}
-	if b := n.current().build; b != nil {
+	if b := n.currentIncarnation().build; b != nil {
 		p.cmd = exec.Command(b.program, "--config", n.settings)
 	}
-	// The race detector would have a process wait before it exits.
+	// By default the race detector delays the exit of a process.
 	p.cmd.Env = append(os.Environ(), nodeSettingsVar+"="+n.settings, "GORACE=atexit_sleep_ms=0")
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	if err := p.cmd.Start(); err != nil {
@@ -151,15 +151,15 @@
 	n.process = p
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.life.number++
+	n.incarnation.number++
 	return nil
 }
 
-// current returns the node's life as it stands.
-func (n *soakNode) current() life {
+// currentIncarnation returns the node's incarnation.
+func (n *soakNode) currentIncarnation() incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life
+	return n.incarnation
 }
 
 func (n *soakNode) signal(sig syscall.Signal) { _ = n.process.cmd.Process.Signal(sig) }
@@ -169,19 +169,19 @@
 	<-n.process.ended
 }
 
-// note adds to one of the node's lists of spans.
-func (n *soakNode) note(list *[]span, from, to time.Time) {
+// addSpan adds a span to one of the node's lists.
+func (n *soakNode) addSpan(list *[]span, from, to time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	*list = append(*list, span{from, to})
 }
 
-// stopDuring returns the node's last stop that touches a stretch of time, if any.
+// stopDuring returns the node's last stop that overlaps an interval, if any.
 func (n *soakNode) stopDuring(during span) (last span, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, stop := range n.stops {
-		if during.touches(stop) {
+		if during.overlaps(stop) {
 			last, ok = stop, true
 		}
 	}
@@ -191,11 +191,11 @@
 func (n *soakNode) disruptedDuring(during span) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.disrupted, during.touches)
+	return slices.ContainsFunc(n.disrupted, during.overlaps)
 }
 
-// tail returns the last lines of the node's log that hold a text.
-func (n *soakNode) tail(text string, lines int) string {
+// logTail returns the last lines of the node's log that contain text.
+func (n *soakNode) logTail(text string, lines int) string {
 	log, err := os.ReadFile(n.log)
 	if err != nil {
 		return err.Error()
--- a/cmd/vaneyoked/soak_pushback_test.go
+++ b/cmd/vaneyoked/soak_pushback_test.go
@@ -22,56 +22,56 @@
 	pushRounds  = 5
 	pushPause   = 40 * time.Millisecond // between two calls of a caller
 	pushGrace   = 500 * time.Millisecond
-	pushMost    = 2               // requests of a life of a node in the rest of a time without any
-	drainWithin = 2 * time.Second // after which an engine that is leaving gets nothing that a caller sent later
+	maxUnwanted = 2               // requests that an incarnation of a node may still send during a pushback, after its first pushGrace
+	drainWithin = 2 * time.Second // after which an engine that is shutting down must get no request that a caller sent later
 )
 
-// pushSoak has engines ask for nothing for a while, and leave.
+// pushSoak runs engines that push back for a while and shut down.
 type pushSoak struct {
 	*soak
 
-	lock  sync.Mutex
-	lives map[*soakNode]int // of each node; a time without running begins another
-	sent  map[string]sentTo
+	pushMu       sync.Mutex
+	incarnations map[*soakNode]int // number of the incarnation of each node; a new one begins after each time without running
+	sends        map[string]sendRecord
 }
 
-// sentTo is where an attempt went, and when.
-type sentTo struct {
-	life string // "" where it may have been either of two
-	at   time.Time
+// sendRecord is the incarnation of a node to which a caller sent a request, and the time.
+type sendRecord struct {
+	incarnation string // "" if it may have been either of two
+	at          time.Time
 }
 
-// TestSoakPushback has engines turn all away and ask for good, bad and mistaken times without requests, say that they leave while the list does not,
-// and start again under their ids, while nodes are killed, stopped, frozen and added, and the store is away. No life of a node sends what it was asked
-// not to, and callers are served in the end.
+// TestSoakPushback runs engines that refuse all requests with valid and invalid Retry-After headers, announce their shutdown while the list of engines
+// does not, and restart under their ids, while nodes are killed, stopped, frozen and added, and the store is unavailable. No incarnation of a node may
+// send what an engine has asked it not to send, and callers must be served in the end.
 func TestSoakPushback(t *testing.T) {
-	s := &pushSoak{soak: newSoak(t, either(*soakNodes, pushNodes), lameBriefly...), lives: map[*soakNode]int{}, sent: map[string]sentTo{}}
+	s := &pushSoak{soak: newSoak(t, orDefault(*soakNodes, pushNodes), shortLameDuck...), incarnations: map[*soakNode]int{}, sends: map[string]sendRecord{}}
 	for _, e := range s.live {
 		e.SpoilAll(platformtest.Fault{Delay: 5 * time.Millisecond, Pause: time.Millisecond})
 	}
 	rng := rand.New(rand.NewPCG(*soakSeed, 3<<32))
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	for c := range either(*soakCallers, pushCallers) {
-		own := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
-		callers.Go(func() { s.ask(ctx, own) })
+	for c := range orDefault(*soakCallers, pushCallers) {
+		callerRNG := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
+		callers.Go(func() { s.sendCalls(ctx, callerRNG) })
 	}
 	for range pushRounds {
 		for range 1 + rng.IntN(4) {
-			s.disturb(rng)
+			s.disrupt(rng)
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Second))))
 	}
-	s.settle()
-	s.untilServed()
+	s.endPushbacks()
+	s.waitServed()
 	stop()
 	callers.Wait()
 	s.check()
-	s.checkHolds()
+	s.checkPushbacks()
 }
 
-// settle has no engine push back any more, and one that does not leave in the place of each that does.
-func (s *pushSoak) settle() {
+// endPushbacks ends all pushbacks, and adds an engine of each service, as all others may be shutting down.
+func (s *pushSoak) endPushbacks() {
 	for _, e := range s.live {
 		e.PushBack("")
 	}
@@ -79,97 +79,98 @@
 	s.addEngine("shop", "a")
 }
 
-// disturb brings about one trouble.
-func (s *pushSoak) disturb(rng *rand.Rand) {
-	n := s.node(rng)
+// disrupt causes one random disruption.
+func (s *pushSoak) disrupt(rng *rand.Rand) {
+	n := s.randomNode(rng)
 	switch rng.IntN(10) {
 	case 0, 1, 2, 3:
-		asks := []string{"0.5", "1", "2", "3", "soon", "-1", "1e300", "NaN"}
+		retryAfters := []string{"0.5", "1", "2", "3", "soon", "-1", "1e300", "NaN"}
 		all := rng.IntN(4) == 0
 		for _, e := range s.live {
 			if all || rng.IntN(3) == 0 {
-				e.PushBack(asks[rng.IntN(len(asks))])
+				e.PushBack(retryAfters[rng.IntN(len(retryAfters))])
 			} else {
 				e.PushBack("")
 			}
 		}
 	case 4:
-		s.engine(rng).Leave()
+		s.randomEngine(rng).Leave()
 	case 5:
-		s.without(n, func() { s.killAndStart(n) })
+		s.asNewIncarnation(n, func() { s.killAndRestart(n) })
 	case 6:
-		s.without(n, func() { s.stopAndStart(n) })
+		s.asNewIncarnation(n, func() { s.stopAndRestart(n) })
 	case 7:
-		s.without(n, func() { n.freeze(time.Duration(rng.Int64N(int64(2 * time.Second)))) })
+		s.asNewIncarnation(n, func() { n.freeze(time.Duration(rng.Int64N(int64(2 * time.Second)))) })
 	case 8:
 		s.withoutStore(time.Duration(rng.Int64N(int64(2*time.Second))), func() {})
 	case 9:
-		e := s.engine(rng)
+		e := s.randomEngine(rng)
 		e.Crash()
-		time.Sleep(downFor)
+		time.Sleep(engineDowntime)
 		must.True(s.t, e.Again())
 		s.store.ListEngine(e, false)
 	}
 }
 
-// without has a node's life end with a time without running, and the next one begin after it.
-func (s *pushSoak) without(n *soakNode, during func()) {
-	s.newLife(n)
+// asNewIncarnation calls during, in which a node does not run for a while. The node gets a new incarnation number before and after,
+// so that requests sent meanwhile count for neither incarnation.
+func (s *pushSoak) asNewIncarnation(n *soakNode, during func()) {
+	s.nextIncarnation(n)
 	during()
-	s.newLife(n)
+	s.nextIncarnation(n)
 }
 
-func (s *pushSoak) newLife(n *soakNode) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.lives[n]++
+func (s *pushSoak) nextIncarnation(n *soakNode) {
+	s.pushMu.Lock()
+	defer s.pushMu.Unlock()
+	s.incarnations[n]++
 }
 
-func (s *pushSoak) life(n *soakNode) string {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return fmt.Sprint(n.name, " life ", s.lives[n])
+func (s *pushSoak) incarnation(n *soakNode) string {
+	s.pushMu.Lock()
+	defer s.pushMu.Unlock()
+	return fmt.Sprint(n.name, " incarnation ", s.incarnations[n])
 }
 
-// ask sends calls and streams until ctx ends. A refusal has to say when to come back.
-func (s *pushSoak) ask(ctx context.Context, rng *rand.Rand) {
-	for wait(ctx, pushPause) {
+// sendCalls sends calls and streams until ctx ends. Each refusal must have a Retry-After header.
+func (s *pushSoak) sendCalls(ctx context.Context, rng *rand.Rand) {
+	for sleepContext(ctx, pushPause) {
 		path := []string{"/look/x", "/buy/x", "/tell/x"}[rng.IntN(3)]
-		n := s.node(rng)
+		n := s.randomNode(rng)
 		call := platformtest.Call{
 			Path: path, Stream: path == "/tell/x", Prompt: fmt.Sprintf("%x", rng.Uint32()), Wait: 2 * time.Second,
 			ID: fmt.Sprintf("attempt-%d", s.ids.Add(1)), Host: soakHost, Key: soakKey,
 		}
-		s.one(ctx, n, call)
+		s.sendCall(ctx, n, call)
 	}
 }
 
-func (s *pushSoak) one(ctx context.Context, n *soakNode, call platformtest.Call) {
-	before, began := s.life(n), time.Now()
+func (s *pushSoak) sendCall(ctx context.Context, n *soakNode, call platformtest.Call) {
+	before, began := s.incarnation(n), time.Now()
 	status, retryAfter := exchange(ctx, n, call)
-	to := sentTo{life: before, at: began}
-	if s.life(n) != before {
-		to.life = ""
+	record := sendRecord{incarnation: before, at: began}
+	if s.incarnation(n) != before {
+		record.incarnation = ""
 	}
-	s.lock.Lock()
-	s.sent[call.ID] = to
-	s.lock.Unlock()
+	s.pushMu.Lock()
+	s.sends[call.ID] = record
+	s.pushMu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if call.Path == "/buy/x" {
-		s.once = append(s.once, onceCall{id: call.ID, status: status})
+		s.atMostOnce = append(s.atMostOnce, atMostOnceCall{id: call.ID, status: status})
 	}
 	switch status {
 	case http.StatusOK:
 		s.served.Add(1)
 	case http.StatusServiceUnavailable:
 		if seconds, err := strconv.ParseFloat(retryAfter, 64); err != nil || seconds <= 0 {
-			s.wrong = append(s.wrong, fmt.Sprintf("%s %s was refused without a time to come back", call.Path, call.ID))
+			s.violations = append(s.violations, fmt.Sprintf("%s %s was refused without a valid Retry-After header", call.Path, call.ID))
 		}
 	}
 }
 
-// exchange sends a call to a node and returns the status of its answer, 0 for none that is whole, and when it says to come back.
+// exchange sends a call to a node and returns the status and Retry-After header of its answer; the status is 0 if the answer is incomplete.
 func exchange(ctx context.Context, n *soakNode, call platformtest.Call) (status int, retryAfter string) {
 	req, err := call.Request(ctx, n.listen)
 	if err != nil {
@@ -186,16 +187,17 @@
 	return res.StatusCode, res.Header.Get("Retry-After")
 }
 
-// checkHolds holds what engines got against what they had said to the lives of nodes that sent it.
-func (s *pushSoak) checkHolds() {
-	life := func(id string) string { return s.sent[id].life }
-	sent := func(id string) time.Time { return s.sent[id].at }
+// checkPushbacks compares the requests that engines received with the pushbacks and shutdown notices that they had sent to the same incarnations
+// of nodes.
+func (s *pushSoak) checkPushbacks() {
+	incarnation := func(id string) string { return s.sends[id].incarnation }
+	sent := func(id string) time.Time { return s.sends[id].at }
 	most := 0
 	for _, e := range s.engines {
-		unwanted := e.Unwanted(pushGrace, life)
-		must.LessEq(s.t, pushMost, unwanted, must.Sprint(e.ID))
-		must.Zero(s.t, e.AfterLeaving(drainWithin, life, sent), must.Sprint(e.ID))
+		unwanted := e.Unwanted(pushGrace, incarnation)
+		must.LessEq(s.t, maxUnwanted, unwanted, must.Sprint(e.ID))
+		must.Zero(s.t, e.AfterLeaving(drainWithin, incarnation, sent), must.Sprint(e.ID))
 		most = max(most, unwanted)
 	}
-	s.t.Logf("%d requests; at most %d of a node in a time without any", len(s.sent), most)
+	s.t.Logf("%d requests; at most %d of a node during a pushback", len(s.sends), most)
 }
--- a/cmd/vaneyoked/soak_raw_test.go
+++ b/cmd/vaneyoked/soak_raw_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	dialPatience = time.Second
-	answerSlack  = 2 * time.Second        // past the deadline, in which an answer is still read
-	bodyPause    = 200 * time.Millisecond // longest pause within a body
-	thinkTime    = 60 * time.Millisecond  // longest pause between two requests
-	stays        = 10                     // connections in a row to one node, on the average
-	leastWait    = 1500 * time.Millisecond
-	mostWait     = 4 * time.Second
+	dialTimeout  = time.Second
+	readSlack    = 2 * time.Second        // past the deadline, for which an answer is still read
+	maxBodyPause = 200 * time.Millisecond // longest pause within a body
+	maxThinkTime = 60 * time.Millisecond  // longest pause between two requests
+	connsPerNode = 10                     // mean number of consecutive connections to one node
+	minCallWait  = 1500 * time.Millisecond
+	maxCallWait  = 4 * time.Second
 )
 
 // attempt is one request as its caller saw it.
@@ -30,62 +30,62 @@
 	id, path   string
 	body       string
 	node       *soakNode
-	wait       time.Duration // for which the caller says that it waits
-	begun      time.Time
-	written    time.Time // of the last byte; zero where the request could not be written whole
+	wait       time.Duration // maximum wait that the caller states in the request
+	began      time.Time
+	written    time.Time // of the last byte; zero if the request could not be written completely
 	ended      time.Time
-	afterClose bool // whether the answer before it on the connection said that it would be closed
-	status     int  // 0 for no answer
-	signed     string
+	afterClose bool // whether the previous answer on the connection announced that it would be closed
+	status     int  // 0 without an answer
+	signedBy   string
 	answerID   string
 	text       string
-	stray      int   // bytes past the answer
-	err        error // why the answer is not whole; nil where it is
+	strayBytes int   // number of bytes after the end of the answer
+	err        error // why the answer is incomplete; nil if it is complete
 }
 
 func (a *attempt) stream() bool { return strings.HasPrefix(a.path, "/tell/") }
 
-func (a *attempt) span() span { return span{a.begun, a.ended} }
+func (a *attempt) span() span { return span{a.began, a.ended} }
 
-// rawCaller writes its requests itself, and goes on using a connection as long as it is open.
+// rawCaller writes HTTP/1.1 requests to the connection itself, and may keep using a connection as long as it is open.
 type rawCaller struct {
-	soak  *soak
-	rng   *rand.Rand
-	keeps bool // whether it uses a connection more than once
-	heeds bool // whether it hangs up when it is told that the connection will be closed
-	conn  net.Conn
-	in    *bufio.Reader
-	node  *soakNode
-	told  bool // whether the connection's last answer said that it would be closed
-	done  []*attempt
+	soak           *soak
+	rng            *rand.Rand
+	keepsAlive     bool // whether it reuses connections
+	heedsClose     bool // whether it closes a connection after an answer with Connection: close
+	conn           net.Conn
+	in             *bufio.Reader
+	node           *soakNode
+	closeAnnounced bool // whether the last answer on the connection announced that it would be closed
+	attempts       []*attempt
 }
 
-// run makes requests until ctx ends.
+// run sends requests until ctx ends.
 func (c *rawCaller) run(ctx context.Context) {
 	defer c.hangUp()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial(ctx) {
-			time.Sleep(thinkTime / 2)
+			time.Sleep(maxThinkTime / 2)
 			continue
 		}
-		if open := c.request(); !open || !c.keeps {
+		if open := c.request(); !open || !c.keepsAlive {
 			c.hangUp()
 		}
-		time.Sleep(time.Duration(c.rng.Int64N(int64(thinkTime))))
+		time.Sleep(time.Duration(c.rng.Int64N(int64(maxThinkTime))))
 	}
 }
 
 func (c *rawCaller) dial(ctx context.Context) bool {
-	dialer := net.Dialer{Timeout: dialPatience}
-	if c.node == nil || c.rng.IntN(stays) == 0 {
-		c.node = c.soak.node(c.rng)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	if c.node == nil || c.rng.IntN(connsPerNode) == 0 {
+		c.node = c.soak.randomNode(c.rng)
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", c.node.listen)
 	if err != nil {
 		c.node = nil
 		return false
 	}
-	c.conn, c.in, c.told = conn, bufio.NewReader(conn), false
+	c.conn, c.in, c.closeAnnounced = conn, bufio.NewReader(conn), false
 	return true
 }
 
@@ -96,41 +96,41 @@
 	}
 }
 
-// request makes one request, and says whether its connection may be used again.
+// request sends one request and reads its answer. It reports whether the connection may be used again.
 func (c *rawCaller) request() (open bool) {
-	a := c.next()
-	a.begun = time.Now()
-	_ = c.conn.SetDeadline(a.begun.Add(a.wait + answerSlack))
+	a := c.newAttempt()
+	a.began = time.Now()
+	_ = c.conn.SetDeadline(a.began.Add(a.wait + readSlack))
 	if c.write(a) {
 		a.written = time.Now()
 	}
 	closes := c.read(a)
 	a.ended = time.Now()
-	c.done = append(c.done, a)
-	if a.err != nil || (closes && (c.heeds || c.told)) {
+	c.attempts = append(c.attempts, a)
+	if a.err != nil || (closes && (c.heedsClose || c.closeAnnounced)) {
 		return false
 	}
-	c.told = closes
+	c.closeAnnounced = closes
 	if a.status == http.StatusOK {
 		c.soak.served.Add(1)
 	}
 	return true
 }
 
-func (c *rawCaller) next() *attempt {
+func (c *rawCaller) newAttempt() *attempt {
 	id := fmt.Sprintf("call-%08d", c.soak.ids.Add(1))
 	return &attempt{
 		id: id, path: []string{"/look/x", "/buy/x", "/tell/x"}[c.rng.IntN(3)], body: "body of " + id, node: c.node,
-		wait: leastWait + time.Duration(c.rng.Int64N(int64(mostWait-leastWait))), afterClose: c.told,
+		wait: minCallWait + time.Duration(c.rng.Int64N(int64(maxCallWait-minCallWait))), afterClose: c.closeAnnounced,
 	}
 }
 
-// write sends a request in one or more pieces, and says whether all of it was sent.
+// write sends a request in one or more pieces, and reports whether all of it was sent.
 func (c *rawCaller) write(a *attempt) bool {
 	pieces := c.pieces(a)
 	for i, piece := range pieces {
 		if i > 0 && c.rng.IntN(4) > 0 {
-			time.Sleep(time.Duration(c.rng.Int64N(int64(bodyPause))))
+			time.Sleep(time.Duration(c.rng.Int64N(int64(maxBodyPause))))
 		}
 		if _, err := c.conn.Write(piece); err != nil {
 			return false
@@ -139,7 +139,7 @@
 	return true
 }
 
-// pieces returns a request as it is written: whole, with its body in two halves, or with one in chunks.
+// pieces returns the parts in which a request is written: in one, in two with half of the body each, or in two with a chunked body.
 func (c *rawCaller) pieces(a *attempt) [][]byte {
 	var head bytes.Buffer
 	call := platformtest.Call{ID: a.id, Key: soakKey, Stream: a.stream(), Prompt: fmt.Sprintf("%x", c.rng.Uint32()), Wait: a.wait}
@@ -160,16 +160,16 @@
 	}
 }
 
-// read takes in the answer, and says whether the node will close the connection.
+// read reads the answer, and reports whether the node will close the connection.
 func (c *rawCaller) read(a *attempt) (closes bool) {
 	res, err := http.ReadResponse(c.in, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		a.err = err
 		return true
 	}
-	a.status, a.signed, a.answerID = res.StatusCode, platformtest.SignedBy(res), platformtest.AnswerTo(res)
+	a.status, a.signedBy, a.answerID = res.StatusCode, platformtest.SignedBy(res), platformtest.AnswerTo(res)
 	text, err := io.ReadAll(res.Body)
 	a.text, a.err = string(text), err
-	a.stray = c.in.Buffered()
+	a.strayBytes = c.in.Buffered()
 	return res.Close
 }
--- a/cmd/vaneyoked/soak_slow_test.go
+++ b/cmd/vaneyoked/soak_slow_test.go
@@ -11,20 +11,20 @@
 	"github.com/vaneyoke/vaneyoke/platform/platformtest"
 )
 
-// TestSoakSlowedEnginesSettle has all engines of real nodes fall silent again and again within each stream, for longer than its
-// pace allows and less than the pause that callers take as in time. Engines that are at work keep their streams: none is made twice,
-// whatever others do.
-func TestSoakSlowedEnginesSettle(t *testing.T) {
+// TestSoakSlowEnginesKeepStreams makes all engines pause repeatedly within each stream, for longer than the
+// stream's pace so far would suggest but shorter than the pause that callers accept. Engines that are still working must keep their
+// streams: no stream may be generated twice, whatever happens to others.
+func TestSoakSlowEnginesKeepStreams(t *testing.T) {
 	const (
 		streams = 40
 		gap     = 20 * time.Millisecond
 		stretch = 450 * time.Millisecond
 	)
-	s := newSoak(t, either(*soakNodes, faultNodes))
-	asked := 0
+	s := newSoak(t, orDefault(*soakNodes, faultNodes))
+	reports := 0
 	for _, e := range s.engines {
 		e.SpoilAll(platformtest.Fault{Pause: gap, Stretch: stretch})
-		asked -= e.Reports()
+		reports -= e.Reports()
 	}
 	before := s.streamRuns()
 	var callers sync.WaitGroup
@@ -33,16 +33,16 @@
 		callers.Go(func() { s.stream(t.Context(), rng) })
 	}
 	callers.Wait()
-	must.SliceEmpty(t, s.wrong)
+	must.SliceEmpty(t, s.violations)
 	must.EqOp(t, streams, int(s.served.Load()))
 	must.EqOp(t, streams, s.streamRuns()-before)
 	for _, e := range s.engines {
-		asked += e.Reports()
+		reports += e.Reports()
 	}
-	must.Greater(t, 4*streams, asked) // beyond the homes of each prompt: streams were silent for long enough to be asked about
+	must.Greater(t, 4*streams, reports) // more than the reports of each prompt's affinity upstreams: streams paused for long enough to be queried
 }
 
-// streamRuns returns how often engines began to make a stream.
+// streamRuns returns the number of streams that engines have started.
 func (s *soak) streamRuns() (n int) {
 	for _, e := range s.engines {
 		if e.Service == "lm" {
--- a/cmd/vaneyoked/soak_stops_test.go
+++ b/cmd/vaneyoked/soak_stops_test.go
@@ -20,34 +20,35 @@
 )
 
 const (
-	stopNodes   = 6
-	stopCallers = 72
-	stopGrace   = 3 * time.Second
-	endSlack    = 200 * time.Millisecond // past the grace, in which a stopping process has to end
-	seriesPause = 800 * time.Millisecond // longest pause between two stops of a series
-	earlyStop   = 150 * time.Millisecond // longest time from a start to a SIGTERM that follows it at once
-	freezeTime  = 200 * time.Millisecond
-	kindPause   = 100 * time.Millisecond // after a disruption, in which it still counts
+	stopNodes       = 6
+	stopCallers     = 72
+	stopGrace       = 3 * time.Second
+	endSlack        = 200 * time.Millisecond // past the grace, within which a stopping process has to end
+	maxSeriesPause  = 800 * time.Millisecond // between two stops of a series
+	maxEarlyStop    = 150 * time.Millisecond // from a start to a SIGTERM that follows during it
+	freezeTime      = 200 * time.Millisecond
+	disruptionSlack = 100 * time.Millisecond // after a disruption, for which it still counts
 )
 
-// stopSettings has a stop take a short while.
+// stopSettings shortens the grace and the lame duck time of a node.
 var stopSettings = []string{"grace = 8s\n", "grace = " + stopGrace.String() + "\n", "[gateway]\n", "[gateway]\nlame = 300ms\n"}
 
-// stopSoak is a soak whose nodes are stopped in series that overlap.
+// stopSoak is a soak whose nodes are stopped in overlapping series.
 type stopSoak struct {
 	*soak
-	work    sync.WaitGroup
-	stops   atomic.Int64
-	raw     []*rawCaller
-	mu      sync.Mutex
-	longest time.Duration // from SIGTERM to the end of a process
-	ends    map[string]int
+	tasks       sync.WaitGroup
+	stops       atomic.Int64
+	callers     []*rawCaller
+	mu          sync.Mutex
+	longestStop time.Duration // from SIGTERM to the end of a process
+	processEnds map[string]int
 }
 
-// stopSeeds are seeds that broke a promise once.
+// stopSeeds are seeds with which a guarantee was once violated.
 var stopSeeds = []uint64{1, 5, 7}
 
-// TestSoakOverlappingStops stops real processes in series that overlap, while callers go on using their connections.
+// TestSoakOverlappingStops stops real processes in overlapping series, while callers keep using their connections: no request may be lost that
+// a node had accepted.
 func TestSoakOverlappingStops(t *testing.T) {
 	seeds := stopSeeds
 	if !slices.Contains(seeds, *soakSeed) {
@@ -56,80 +57,80 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newStopSoak(t)
-			j := s.play(seed, s.trouble)
-			must.SliceEmpty(t, s.wrong, must.Sprint("told of above"))
-			must.MapEmpty(t, j.counts(), must.Sprint("told of in full above"))
+			v := s.runStops(seed, s.disruptEngines)
+			must.SliceEmpty(t, s.violations, must.Sprint("see the violations logged above"))
+			must.MapEmpty(t, v.violationCounts(), must.Sprint("see the timelines logged above"))
 		})
 	}
 }
 
-// TestSoakLossesAreLogged has engines fall silent while nodes stop, after which the nodes' logs have to name each request
-// that an engine got and that ended without an answer or with a failure of the node's own.
+// TestSoakLossesAreLogged makes engines hang while nodes stop. The nodes' logs have to name each request that reached an engine
+// and ended without an answer or with an error of the node itself.
 func TestSoakLossesAreLogged(t *testing.T) {
 	s := newStopSoak(t)
-	j := s.play(*soakSeed, s.trouble, s.hush)
-	delete(j.unlined, cutOff) // its caller holds a part
-	must.MapEmpty(t, j.unlined)
-	must.MapNotEmpty(t, j.lined)
+	v := s.runStops(*soakSeed, s.disruptEngines, s.hangEngines)
+	delete(v.unloggedLosses, cutOff) // the caller has received a part of the answer
+	must.MapEmpty(t, v.unloggedLosses)
+	must.MapNotEmpty(t, v.loggedLosses)
 }
 
 func newStopSoak(t *testing.T) *stopSoak {
-	s := &stopSoak{soak: newSoak(t, either(*soakNodes, stopNodes), stopSettings...), ends: map[string]int{}}
-	s.usual()
+	s := &stopSoak{soak: newSoak(t, orDefault(*soakNodes, stopNodes), stopSettings...), processEnds: map[string]int{}}
+	s.resetDelays()
 	return s
 }
 
-// play stops nodes in series and brings about troubles besides, and judges what came of the requests.
-func (s *stopSoak) play(seed uint64, troubles ...func(context.Context, *rand.Rand)) *judge {
+// runStops stops nodes in series while it runs the given disruptions, and verifies the outcomes of all requests.
+func (s *stopSoak) runStops(seed uint64, disruptions ...func(context.Context, *rand.Rand)) *verifier {
 	ctx, cancel := context.WithCancel(s.t.Context())
 	callers := s.startCallers(ctx, seed)
 	stopping, stop := context.WithTimeout(ctx, *soakDuration)
 	defer stop()
-	for i, trouble := range troubles {
-		s.work.Go(func() { trouble(stopping, rand.New(rand.NewPCG(seed, 1<<33+uint64(i)))) })
+	for i, disruption := range disruptions {
+		s.tasks.Go(func() { disruption(stopping, rand.New(rand.NewPCG(seed, 1<<33+uint64(i)))) })
 	}
 	for i := range 1 + len(s.nodes)/(2*stopNodes) {
-		s.work.Go(func() { s.series(stopping, rand.New(rand.NewPCG(seed, 1<<34+uint64(i)))) })
+		s.tasks.Go(func() { s.stopInSeries(stopping, rand.New(rand.NewPCG(seed, 1<<34+uint64(i)))) })
 	}
-	s.work.Wait()
-	s.calm()
-	s.untilServed()
+	s.tasks.Wait()
+	s.clearFaults()
+	s.waitServed()
 	cancel()
 	callers.Wait()
-	s.endAll()
-	return s.judged(seed)
+	s.terminateAll()
+	return s.verify(seed)
 }
 
 func (s *stopSoak) startCallers(ctx context.Context, seed uint64) *sync.WaitGroup {
 	var callers sync.WaitGroup
-	for i := range either(*soakCallers, stopCallers) {
-		c := &rawCaller{soak: s.soak, rng: rand.New(rand.NewPCG(seed, uint64(i))), keeps: i%3 > 0, heeds: i%2 > 0}
-		s.raw = append(s.raw, c)
+	for i := range orDefault(*soakCallers, stopCallers) {
+		c := &rawCaller{soak: s.soak, rng: rand.New(rand.NewPCG(seed, uint64(i))), keepsAlive: i%3 > 0, heedsClose: i%2 > 0}
+		s.callers = append(s.callers, c)
 		callers.Go(func() { c.run(ctx) })
 	}
 	return &callers
 }
 
-// series stops one node after the other until ctx ends, without waiting for the end of those before.
-func (s *stopSoak) series(ctx context.Context, rng *rand.Rand) {
+// stopInSeries stops one node after the other until ctx ends, without waiting until the previous ones have ended.
+func (s *stopSoak) stopInSeries(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(rng.Int64N(int64(seriesPause))))
-		n := s.pick(rng)
+		time.Sleep(time.Duration(rng.Int64N(int64(maxSeriesPause))))
+		n := s.pickIdle(rng)
 		if n == nil {
 			continue
 		}
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		s.work.Go(func() {
+		stopRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		s.tasks.Go(func() {
 			defer n.setBusy(false)
 			s.stops.Add(1)
-			s.disturb(n, own)
+			s.disrupt(n, stopRNG)
 		})
 	}
 }
 
-// pick returns a node to which nothing happens yet; nil where that would leave none.
-func (s *stopSoak) pick(rng *rand.Rand) *soakNode {
-	idle := slices.DeleteFunc(s.all(), (*soakNode).isBusy)
+// pickIdle returns a node that is not being disrupted and marks it busy; nil if no other idle node would be left.
+func (s *stopSoak) pickIdle(rng *rand.Rand) *soakNode {
+	idle := slices.DeleteFunc(s.allNodes(), (*soakNode).isBusy)
 	if len(idle) < 2 {
 		return nil
 	}
@@ -150,24 +151,24 @@
 	n.busy = busy
 }
 
-// disturb stops a node in one of several ways and brings it or another one back.
-func (s *stopSoak) disturb(n *soakNode, rng *rand.Rand) {
+// disrupt stops a node in one of several ways, and restarts it or starts another one in its place.
+func (s *stopSoak) disrupt(n *soakNode, rng *rand.Rand) {
 	switch way := rng.IntN(20); {
 	case way == 0:
 		from := time.Now()
 		n.kill()
-		n.note(&n.disrupted, from, time.Now().Add(kindPause))
-		s.bringBack(n)
+		n.addSpan(&n.disrupted, from, time.Now().Add(disruptionSlack))
+		s.startAndWait(n)
 	case way == 1:
 		from := time.Now()
 		n.freeze(freezeTime)
-		n.note(&n.disrupted, from, time.Now().Add(kindPause))
+		n.addSpan(&n.disrupted, from, time.Now().Add(disruptionSlack))
 	case way < 6:
 		if other, err := s.addNode(stopSettings...); err != nil {
 			s.fail("add a node: %v", err)
 		} else {
 			other.setBusy(true)
-			s.bringBack(other)
+			s.startAndWait(other)
 			other.setBusy(false)
 		}
 		s.terminate(n, rng, false)
@@ -175,7 +176,7 @@
 	default:
 		if rng.IntN(3) == 0 {
 			n.signal(syscall.SIGHUP)
-			time.Sleep(time.Duration(rng.Int64N(int64(kindPause))))
+			time.Sleep(time.Duration(rng.Int64N(int64(disruptionSlack))))
 		}
 		s.terminate(n, rng, false)
 		for rng.IntN(3) == 0 {
@@ -183,44 +184,44 @@
 				s.fail("start %s: %v", n.name, err)
 				return
 			}
-			time.Sleep(time.Duration(rng.Int64N(int64(earlyStop))))
+			time.Sleep(time.Duration(rng.Int64N(int64(maxEarlyStop))))
 			s.terminate(n, rng, true)
 		}
-		s.bringBack(n)
+		s.startAndWait(n)
 	}
 }
 
-// bringBack starts a node and waits until it is ready.
-func (s *stopSoak) bringBack(n *soakNode) {
+// startAndWait starts a node and waits until it is ready.
+func (s *stopSoak) startAndWait(n *soakNode) {
 	if err := n.start(); err != nil {
 		s.fail("start %s: %v", n.name, err)
 		return
 	}
-	if !ready(n) {
-		s.fail("%s is not ready: %s", n.name, n.tail("", 5))
+	if !becomesReady(n) {
+		s.fail("%s is not ready: %s", n.name, n.logTail("", 5))
 	}
 }
 
-// later is a signal to a node that stops already.
-type later struct {
+// extraSignal is a signal to a node that is already stopping.
+type extraSignal struct {
 	after time.Duration
 	sig   syscall.Signal
 }
 
-// terminate stops a node with SIGTERM, sends some signals more while it stops, and holds it to its grace. A node is early
-// where it may not have come up yet.
+// terminate stops a node with SIGTERM, sends some more signals while it stops, and checks that it ends within its grace. early
+// tells that the node may not have completed its start.
 func (s *stopSoak) terminate(n *soakNode, rng *rand.Rand, early bool) {
-	var signals []later
+	var signals []extraSignal
 	if rng.IntN(3) == 0 {
-		signals = append(signals, later{time.Duration(rng.Int64N(int64(stopGrace / 2))), syscall.SIGTERM})
+		signals = append(signals, extraSignal{time.Duration(rng.Int64N(int64(stopGrace / 2))), syscall.SIGTERM})
 	}
 	if !early && rng.IntN(2) == 0 {
-		signals = append(signals, later{time.Duration(rng.Int64N(int64(stopGrace))), syscall.SIGHUP})
+		signals = append(signals, extraSignal{time.Duration(rng.Int64N(int64(stopGrace))), syscall.SIGHUP})
 	}
-	slices.SortFunc(signals, func(a, b later) int { return int(a.after - b.after) })
+	slices.SortFunc(signals, func(a, b extraSignal) int { return int(a.after - b.after) })
 	from := time.Now()
 	n.signal(syscall.SIGTERM)
-	n.note(&n.stops, from, from.Add(stopGrace+endSlack)) // until its end is known
+	n.addSpan(&n.stops, from, from.Add(stopGrace+endSlack)) // corrected when the process has ended
 	for _, l := range signals {
 		select {
 		case <-n.process.ended:
@@ -231,14 +232,14 @@
 	select {
 	case <-n.process.ended:
 	case <-time.After(time.Until(from.Add(stopGrace + endSlack))):
-		s.fail("%s still runs %v after SIGTERM:\n%s", n.name, time.Since(from), n.tail("", 8))
+		s.fail("%s still runs %v after SIGTERM:\n%s", n.name, time.Since(from), n.logTail("", 8))
 		n.kill()
 	}
-	s.ended(n, from, early, len(signals) > 0)
+	s.recordStop(n, from, early, len(signals) > 0)
 }
 
-// ended notes how a stop came out.
-func (s *stopSoak) ended(n *soakNode, from time.Time, early, signalled bool) {
+// recordStop records the duration and the outcome of a stop, and checks the exit status.
+func (s *stopSoak) recordStop(n *soakNode, from time.Time, early, signalled bool) {
 	took := n.process.endedAt.Sub(from)
 	n.mu.Lock()
 	for i := range n.stops {
@@ -247,25 +248,25 @@
 		}
 	}
 	n.mu.Unlock()
-	how := endOf(n.process)
+	how := describeEnd(n.process)
 	if signalEnd := strings.HasPrefix(how, "signal"); how == "failed" || (signalEnd && !early && !signalled) {
-		s.fail("%s ended %v after SIGTERM: %v\n%s", n.name, took, n.process.err, n.tail("", 5))
+		s.fail("%s ended %v after SIGTERM: %v\n%s", n.name, took, n.process.err, n.logTail("", 5))
 	}
 	if early {
 		how += ", soon after its start"
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.longest = max(s.longest, took)
-	s.ends[how]++
+	s.longestStop = max(s.longestStop, took)
+	s.processEnds[how]++
 }
 
-// endOf says how a process ended.
-func endOf(p *process) string {
+// describeEnd describes how a process ended.
+func describeEnd(p *process) string {
 	exit, exited := errors.AsType[*exec.ExitError](p.err)
 	switch {
 	case p.err == nil:
-		return "in good order"
+		return "with status 0"
 	case !exited:
 		return "failed"
 	case exit.ExitCode() == int(vaneyoke.CodeInterrupted):
@@ -277,30 +278,30 @@
 	}
 }
 
-// endAll stops all nodes when nobody calls any more; nothing may be cut off.
-func (s *stopSoak) endAll() {
+// terminateAll stops all nodes after the callers have ended; no request may be cut off.
+func (s *stopSoak) terminateAll() {
 	var all sync.WaitGroup
-	for _, n := range s.all() {
+	for _, n := range s.allNodes() {
 		all.Go(func() { s.terminate(n, rand.New(rand.NewPCG(0, 0)), false) })
 	}
 	all.Wait()
 }
 
-// judged holds each request against the promises.
-func (s *stopSoak) judged(seed uint64) *judge {
-	j := newJudge(stopGrace, s.engines)
+// verify checks the guarantees for each request.
+func (s *stopSoak) verify(seed uint64) *verifier {
+	v := newVerifier(stopGrace, s.engines)
 	var all []*attempt
-	for _, c := range s.raw {
-		all = append(all, c.done...)
+	for _, c := range s.callers {
+		all = append(all, c.attempts...)
 	}
 	for _, a := range all {
-		j.take(a)
+		v.verify(a)
 	}
-	j.lines(all)
-	s.t.Logf("seed %d: %d stops, longest %v, ends %v; %d requests, endings %v; allowed without an answer %v; lines of losses %v, without a line %v",
-		seed, s.stops.Load(), s.longest, s.ends, len(all), j.endings, j.allowed, j.lined, j.unlined)
-	for _, line := range append(s.wrong, j.report()...) {
+	v.countLosses(all)
+	s.t.Logf("seed %d: %d stops, longest %v, ends %v; %d requests, outcomes %v; excused without an answer %v; losses logged %v, not logged %v",
+		seed, s.stops.Load(), s.longestStop, s.processEnds, len(all), v.outcomes, v.excused, v.loggedLosses, v.unloggedLosses)
+	for _, line := range append(s.violations, v.report()...) {
 		s.t.Log(line)
 	}
-	return j
+	return v
 }
--- a/cmd/vaneyoked/soak_store_test.go
+++ b/cmd/vaneyoked/soak_store_test.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	awayNodes   = 12
-	awayCallers = 12
-	awayRounds  = 3
-	awayBefore  = 2500 * time.Millisecond // from the store's fall to the kill: tables have to have grown old
-	awayMost    = 6 * time.Second         // within which nodes that start while the store is away have to serve
-	backMost    = 4 * time.Second         // within which a change after the store's return has to be in force everywhere
-	killShare   = 0.6
-	callsEach   = 8  // calls to the store that a node may cost that starts while it is away
-	callsSecond = 40 // calls a second that the rest may make meanwhile, whatever their number
+	outageNodes       = 12
+	outageCallers     = 12
+	outageRounds      = 3
+	outageBeforeKill  = 2500 * time.Millisecond // from the store's failure to the kill, until which tables have to be stale
+	maxReadyTime      = 6 * time.Second         // within which nodes that start while the store is unavailable have to be ready
+	maxActivationTime = 4 * time.Second         // within which a change after the store's recovery has to be active on all nodes
+	killFraction      = 0.6
+	maxCallsPerStart  = 8  // calls to the store for each node that starts while it is unavailable
+	maxCallsPerSecond = 40 // calls of all other nodes together in that time, whatever their number
 )
 
-// TestSoakStoreAway has the store refuse all calls, kills most nodes meanwhile and starts them again: they have to serve by what
-// the others tell them, few calls go to the store, and a change after its return is soon in force.
+// TestSoakStoreAway makes the store refuse all calls, and kills and restarts most nodes in that time. The restarted nodes must serve with
+// the tables that they get from the others, few calls may go to the store, and a change after its recovery must soon be active.
 func TestSoakStoreAway(t *testing.T) {
-	s := newSoak(t, either(*soakNodes, awayNodes), lameBriefly...)
+	s := newSoak(t, orDefault(*soakNodes, outageNodes), shortLameDuck...)
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	for c := range either(*soakCallers, awayCallers) {
+	for c := range orDefault(*soakCallers, outageCallers) {
 		rng := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
 		callers.Go(func() {
 			for ctx.Err() == nil {
@@ -40,23 +40,23 @@
 		})
 	}
 	rng := rand.New(rand.NewPCG(*soakSeed, 1<<32))
-	for range awayRounds {
-		s.awayOnce(rng)
+	for range outageRounds {
+		s.checkOutage(rng)
 	}
-	s.untilServed()
+	s.waitServed()
 	stop()
 	callers.Wait()
 	s.check()
 }
 
-// awayOnce has the store away once.
-func (s *soak) awayOnce(rng *rand.Rand) {
+// checkOutage runs one outage of the store.
+func (s *soak) checkOutage(rng *rand.Rand) {
 	began, before := time.Now(), s.store.AllCalls()
 	s.store.Refuse(http.StatusServiceUnavailable)
-	time.Sleep(awayBefore + time.Duration(rng.Int64N(int64(time.Second))))
+	time.Sleep(outageBeforeKill + time.Duration(rng.Int64N(int64(time.Second))))
 	var killed []*soakNode
-	for _, n := range s.all() {
-		if rng.Float64() < killShare && len(killed)+1 < len(s.all()) {
+	for _, n := range s.allNodes() {
+		if rng.Float64() < killFraction && len(killed)+1 < len(s.allNodes()) {
 			killed = append(killed, n)
 			n.kill()
 		}
@@ -66,26 +66,26 @@
 	}
 	started := time.Now()
 	for _, n := range killed {
-		must.True(s.t, ready(n))
+		must.True(s.t, becomesReady(n))
 	}
 	served := time.Since(started)
-	must.Less(s.t, awayMost, served)
-	away, calls := time.Since(began), s.store.AllCalls()-before
-	s.t.Logf("store away for %s: %d of %d nodes killed, ready again %s after their start, %d calls to the store", away, len(killed), len(s.all()), served, calls)
-	must.LessEq(s.t, callsEach*len(killed)+int(callsSecond*away.Seconds()), calls)
+	must.Less(s.t, maxReadyTime, served)
+	outage, calls := time.Since(began), s.store.AllCalls()-before
+	s.t.Logf("store unavailable for %s: %d of %d nodes killed, ready again %s after their start, %d calls to the store", outage, len(killed), len(s.allNodes()), served, calls)
+	must.LessEq(s.t, maxCallsPerStart*len(killed)+int(maxCallsPerSecond*outage.Seconds()), calls)
 	s.store.Refuse(0)
 	s.configure()
 	changed := time.Now()
-	for _, n := range s.all() {
-		for !n.inForce(s.version) {
-			must.Less(s.t, backMost, time.Since(changed), must.Sprint(n.name))
+	for _, n := range s.allNodes() {
+		for !n.hasActiveVersion(s.version) {
+			must.Less(s.t, maxActivationTime, time.Since(changed), must.Sprint(n.name))
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	s.t.Logf("a change was in force everywhere %s after the store's return", time.Since(changed))
+	s.t.Logf("a change was active on all nodes %s after the store's recovery", time.Since(changed))
 }
 
-// inForce reports whether a node's log says that it goes by a version of the configuration.
-func (n *soakNode) inForce(version int) bool {
-	return strings.HasSuffix(strings.TrimSpace(n.tail("msg=configuration_in_force", 1)), fmt.Sprintf("version=%d", version))
+// hasActiveVersion reports whether a version of the configuration is active on a node, according to its log.
+func (n *soakNode) hasActiveVersion(version int) bool {
+	return strings.HasSuffix(strings.TrimSpace(n.logTail("msg=configuration_in_force", 1)), fmt.Sprintf("version=%d", version))
 }
--- a/cmd/vaneyoked/soak_test.go
+++ b/cmd/vaneyoked/soak_test.go
@@ -28,13 +28,13 @@
 )
 
 const (
-	nodeSettingsVar = "VANEYOKED_TEST_SETTINGS" // has the test program run a node in place of the tests
+	nodeSettingsVar = "VANEYOKED_TEST_SETTINGS" // makes the test executable run a node instead of the tests
 	faultNodes      = 3
 	faultCallers    = 6
 	soakHost        = "stall.example"
 	soakKey         = "key"
 	faultPause      = 100 * time.Millisecond
-	nodesPerEngine  = 2 // nodes of a large soak for which a zone has one more engine
+	nodesPerEngine  = 2 // a zone of a large soak has one engine for this number of nodes
 )
 
 func TestMain(m *testing.M) {
@@ -46,37 +46,37 @@
 	os.Exit(m.Run())
 }
 
-// soak is a fleet of real processes before stand-ins, with callers that check what they get.
+// soak is a fleet of real node processes with stand-in engines and a stand-in store, and callers that check their answers.
 type soak struct {
 	t       *testing.T
 	store   *platformtest.Store
 	version int
 
-	mu      sync.Mutex
-	engines []*platformtest.Engine // all that ever were
-	live    []*platformtest.Engine
-	nodes   []*soakNode
-	named   int    // nodes that were given a name
-	logs    string // folder
-	ids     atomic.Int64
-	once    []onceCall
-	wrong   []string
-	served  atomic.Int64
+	mu             sync.Mutex
+	engines        []*platformtest.Engine // all, including those that have ended
+	live           []*platformtest.Engine
+	nodes          []*soakNode
+	lastNodeNumber int    // in the name of the newest node
+	logs           string // folder of log files
+	ids            atomic.Int64
+	atMostOnce     []atMostOnceCall
+	violations     []string
+	served         atomic.Int64
 }
 
-// onceCall is a call that may run at most once, as its caller saw it end.
-type onceCall struct {
+// atMostOnceCall is the outcome of a call that may run at most once, as its caller saw it.
+type atMostOnceCall struct {
 	id     string
-	status int // 0 where the connection broke
+	status int // 0 if the connection broke
 }
 
 func (s *soak) fail(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong = append(s.wrong, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// newSoak starts nodes before stand-ins, with replacements in their deployed settings.
+// newSoak starts the stand-ins and a number of nodes, with replacements in their deployed settings.
 func newSoak(t *testing.T, nodes int, replace ...string) *soak {
 	s := &soak{t: t, store: platformtest.NewStore(), logs: t.TempDir()}
 	t.Cleanup(s.store.Close)
@@ -109,36 +109,37 @@
 		must.NoError(t, n.start())
 	}
 	for _, n := range s.nodes {
-		untilReady(t, n.readyURL())
+		waitReady(t, n.readyURL())
 	}
 	return s
 }
 
-// untilServed waits until all nodes are ready again and some more requests were served.
-func (s *soak) untilServed() {
-	for _, n := range s.all() {
-		untilReady(s.t, n.readyURL())
+// waitServed waits until all nodes are ready and 50 more requests have been served.
+func (s *soak) waitServed() {
+	for _, n := range s.allNodes() {
+		waitReady(s.t, n.readyURL())
 	}
 	before := s.served.Load()
 	for start := time.Now(); s.served.Load() < before+50; time.Sleep(time.Millisecond) {
-		must.Less(s.t, patient, time.Since(start))
+		must.Less(s.t, maxWait, time.Since(start))
 	}
 }
 
-// either returns a flag's number, or the test's own where the flag is not given.
-func either(given, own int) int {
+// orDefault returns the value of a flag, or the test's default if the flag is not set.
+func orDefault(given, fallback int) int {
 	if given > 0 {
 		return given
 	}
-	return own
+	return fallback
 }
 
-// TestSoak runs real processes through random faults; what is promised to callers must hold for each of their requests.
+// TestSoak injects random faults into real processes: streams must be exact, answers those of their engines, calls that may run at most once
+// must not run twice, and refused ones must not run at all.
 func TestSoak(t *testing.T) {
-	s := newSoak(t, either(*soakNodes, faultNodes), "[gateway]\n", "[gateway]\nlame = 50ms\n")
+	s := newSoak(t, orDefault(*soakNodes, faultNodes), "[gateway]\n", "[gateway]\nlame = 50ms\n")
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	for c := range either(*soakCallers, faultCallers) {
+	for c := range orDefault(*soakCallers, faultCallers) {
 		rng := rand.New(rand.NewPCG(*soakSeed, uint64(c)))
 		callers.Go(func() {
 			for ctx.Err() == nil {
@@ -156,15 +157,15 @@
 	rng := rand.New(rand.NewPCG(*soakSeed, 1<<32))
 	for range *soakFaults {
 		time.Sleep(faultPause)
-		s.fault(rng)
+		s.injectFault(rng)
 	}
-	s.untilServed()
+	s.waitServed()
 	stop()
 	callers.Wait()
 	s.check()
 }
 
-// check holds what callers were told against what engines ran.
+// check compares the answers of at-most-once calls with what engines ran, and fails on violations.
 func (s *soak) check() {
 	runs := map[string]int{}
 	for _, e := range s.engines {
@@ -172,16 +173,16 @@
 			runs[run.ID()]++
 		}
 	}
-	for _, call := range s.once {
-		promised := call.status == http.StatusServiceUnavailable || call.status == http.StatusTooManyRequests
-		if runs[call.id] > 1 || (promised && runs[call.id] > 0) {
-			s.wrong = append(s.wrong, fmt.Sprintf("call %s ended with %d and ran %d times", call.id, call.status, runs[call.id]))
+	for _, call := range s.atMostOnce {
+		refused := call.status == http.StatusServiceUnavailable || call.status == http.StatusTooManyRequests
+		if runs[call.id] > 1 || (refused && runs[call.id] > 0) {
+			s.violations = append(s.violations, fmt.Sprintf("call %s ended with status %d and ran %d times", call.id, call.status, runs[call.id]))
 		}
 	}
-	s.t.Logf("seed %d: %d faults, %d answers, %d calls that may run once, %d attempts", *soakSeed, *soakFaults, s.served.Load(), len(s.once), s.ids.Load())
-	for _, wrong := range s.wrong {
-		s.t.Log(wrong)
+	s.t.Logf("seed %d: %d faults, %d answers, %d calls that may run once, %d attempts", *soakSeed, *soakFaults, s.served.Load(), len(s.atMostOnce), s.ids.Load())
+	for _, violation := range s.violations {
+		s.t.Log(violation)
 	}
-	must.SliceEmpty(s.t, s.wrong)
-	must.Positive(s.t, len(s.once))
+	must.SliceEmpty(s.t, s.violations)
+	must.Positive(s.t, len(s.atMostOnce))
 }
--- a/cmd/vaneyoked/soak_upgrade_test.go
+++ b/cmd/vaneyoked/soak_upgrade_test.go
@@ -28,149 +28,149 @@
 const (
 	upgradeNodes   = 4
 	upgradeCallers = 4
-	leavingKey     = "key-that-is-taken-away"
+	revocableKey   = "key-that-is-taken-away"
 	upgradePause   = 20 * time.Millisecond // between two calls of a caller
-	inForce        = 3 * time.Second       // in which a key that was taken away is refused by all
+	revocationTime = 3 * time.Second       // after its revocation, within which all nodes have to refuse a key
 )
 
-// withoutQuarantine are the builds that send on requests which end engines.
+// withoutQuarantine lists the builds that keep forwarding requests which crash engines.
 var withoutQuarantine = []string{"83805ab"}
 
-// upgradeSoak is a fleet whose nodes are replaced by ones of another build, one after the other, forth and back.
+// upgradeSoak is a fleet whose nodes are upgraded and downgraded between builds, one after the other.
 type upgradeSoak struct {
 	*soak
-	before []*build
-	own    sync.Map // ids of attempts at nodes of this build
-	broken atomic.Int64
-	whole  atomic.Int64
-	ended  atomic.Int64 // processes that ended by themselves
+	earlierBuilds     []*build
+	currentBuildCalls sync.Map // ids of calls to nodes of this build
+	broken            atomic.Int64
+	complete          atomic.Int64
+	unexpectedExits   atomic.Int64 // number of processes that ended by themselves
 
-	keyMu   sync.Mutex
-	keys    []keyUse
-	taken   time.Time   // when the key was taken away; the zero time where it was not
-	crashes []time.Time // of engines, under the request that ends them
-	calm    []span
+	keyMu     sync.Mutex
+	keyUses   []keyUse
+	revokedAt time.Time   // when the key was revoked; zero if it was not
+	crashes   []time.Time // of engines, on the crashing request
+	quiet     []span
 }
 
-// keyUse is a request with the key that is taken away.
+// keyUse is a request with the key that is revoked during the soak.
 type keyUse struct {
-	life   string // of the node's process
-	sent   time.Time
-	got    time.Time
-	status int
+	incarnation string // name of the node and number of its process
+	sent        time.Time
+	answered    time.Time
+	status      int
 }
 
-// TestSoakUpgrade has nodes of this build run beside those of earlier ones, replaced one after the other, forth and back, while callers stream, engines
-// are lost, requests end engines, engines name limits, the store is away and nodes are killed in the middle. What callers and engines see must
-// keep all promises, and no process may end by itself, whatever it is told.
+// TestSoakUpgrade runs nodes of this build beside those of earlier ones, and upgrades and downgrades them one after the other, while callers stream,
+// engines are lost, requests crash engines, engines declare limits, the store is unavailable and nodes are killed during their start. The guarantees to
+// callers and engines must hold, and no process may end by itself, whatever messages it receives from nodes of another build.
 func TestSoakUpgrade(t *testing.T) {
 	s := &upgradeSoak{soak: newSoak(t, 0)}
 	commits := strings.Split(cmp.Or(*soakBefore, productionCommit(t)), ",")
 	for _, commit := range commits {
 		if commit != "none" {
-			s.before = append(s.before, buildOf(t, commit))
+			s.earlierBuilds = append(s.earlierBuilds, buildCommit(t, commit))
 		}
 	}
 	rng := rand.New(rand.NewPCG(*soakSeed, 1<<32))
 	s.configureKeys()
-	for i := range either(*soakNodes, upgradeNodes) {
-		n, err := s.addNode(lameBriefly...)
+	for i := range orDefault(*soakNodes, upgradeNodes) {
+		n, err := s.addNode(shortLameDuck...)
 		must.NoError(t, err)
-		must.NoError(t, s.use(n, s.earlier(i)))
+		must.NoError(t, s.setBuild(n, s.earlierBuild(i)))
 		must.NoError(t, n.start())
 	}
-	for _, n := range s.all() {
-		untilReady(t, n.readyURL())
+	for _, n := range s.allNodes() {
+		waitReady(t, n.readyURL())
 	}
 	for _, e := range s.live {
 		e.SpoilAll(platformtest.Fault{Delay: 5 * time.Millisecond, Pause: 2 * time.Millisecond})
-		s.arm(e)
+		s.crashOnBody(e)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	for c := range either(*soakCallers, upgradeCallers) {
+	for c := range orDefault(*soakCallers, upgradeCallers) {
 		streams, calls := rand.New(rand.NewPCG(*soakSeed, uint64(c))), rand.New(rand.NewPCG(*soakSeed, 1<<40+uint64(c)))
-		callers.Go(func() { s.streams(ctx, streams) })
-		callers.Go(func() { s.calls(ctx, calls) })
+		callers.Go(func() { s.sendStreams(ctx, streams) })
+		callers.Go(func() { s.sendCalls(ctx, calls) })
 	}
-	callers.Go(func() { s.useKey(ctx, rand.New(rand.NewPCG(*soakSeed, 1<<41))) })
-	callers.Go(func() { s.repeatCrash(ctx, rand.New(rand.NewPCG(*soakSeed, 1<<42))) })
+	callers.Go(func() { s.useRevocableKey(ctx, rand.New(rand.NewPCG(*soakSeed, 1<<41))) })
+	callers.Go(func() { s.sendCrashing(ctx, rand.New(rand.NewPCG(*soakSeed, 1<<42))) })
 	for round := range *soakRounds {
 		s.replaceAll(rng, round)
 		if round == 0 {
-			s.takeKey()
+			s.revokeKey()
 		}
 	}
-	s.untilServed()
-	time.Sleep(calmAfter)
-	s.stayCalm()
+	s.waitServed()
+	time.Sleep(recoveryTime)
+	s.stayQuiet()
 	stop()
 	callers.Wait()
-	s.report()
+	s.verify()
 	s.check()
 }
 
-// earlier returns the earlier build that a node begins with.
-func (s *upgradeSoak) earlier(i int) *build {
-	if len(s.before) == 0 {
+// earlierBuild returns the earlier build with which node i starts; nil if there is none.
+func (s *upgradeSoak) earlierBuild(i int) *build {
+	if len(s.earlierBuilds) == 0 {
 		return nil
 	}
-	return s.before[i%len(s.before)]
+	return s.earlierBuilds[i%len(s.earlierBuilds)]
 }
 
-// replaceAll replaces the nodes one after the other: in even rounds by ones of this build, in odd ones some of them by an earlier one.
+// replaceAll restarts the nodes one after the other: in even rounds all of them with this build, in odd rounds some with an earlier build.
 func (s *upgradeSoak) replaceAll(rng *rand.Rand, round int) {
-	for i, n := range s.all() {
+	for i, n := range s.allNodes() {
 		if round%2 == 1 && rng.IntN(2) == 0 {
 			continue
 		}
 		if rng.IntN(2) == 0 {
-			s.disturb(rng)
+			s.disrupt(rng)
 		}
 		var next *build
 		if round%2 == 1 {
-			next = s.earlier(i)
+			next = s.earlierBuild(i)
 		}
-		s.lives(n)
+		s.checkAlive(n)
 		n.signal(syscall.SIGTERM)
 		<-n.process.ended
-		must.NoError(s.t, s.use(n, next))
+		must.NoError(s.t, s.setBuild(n, next))
 		must.NoError(s.t, n.start())
-		if rng.IntN(4) == 0 { // in the middle of its start
+		if rng.IntN(4) == 0 { // during its start
 			time.Sleep(time.Duration(rng.Int64N(int64(300 * time.Millisecond))))
-			s.lives(n)
+			s.checkAlive(n)
 			n.kill()
 			must.NoError(s.t, n.start())
 		}
-		untilReady(s.t, n.readyURL())
+		waitReady(s.t, n.readyURL())
 	}
-	for _, n := range s.all() {
-		s.lives(n)
+	for _, n := range s.allNodes() {
+		s.checkAlive(n)
 	}
 }
 
-// lives notes where a node's process has ended by itself.
-func (s *upgradeSoak) lives(n *soakNode) {
+// checkAlive records a violation if a node's process has ended by itself, and restarts it.
+func (s *upgradeSoak) checkAlive(n *soakNode) {
 	select {
 	case <-n.process.ended:
-		s.ended.Add(1)
+		s.unexpectedExits.Add(1)
 		commit := "this build"
-		if b := n.current().build; b != nil {
+		if b := n.currentIncarnation().build; b != nil {
 			commit = b.commit
 		}
-		s.fail("%s of %s ended by itself: %v\n%s", n.name, commit, n.process.err, n.tail("", 12))
+		s.fail("%s of %s ended by itself: %v\n%s", n.name, commit, n.process.err, n.logTail("", 12))
 		must.NoError(s.t, n.start())
-		untilReady(s.t, n.readyURL())
+		waitReady(s.t, n.readyURL())
 	default:
 	}
 }
 
-// disturb brings about one trouble.
-func (s *upgradeSoak) disturb(rng *rand.Rand) {
-	n := s.node(rng)
+// disrupt causes one random disruption or configuration change.
+func (s *upgradeSoak) disrupt(rng *rand.Rand) {
+	n := s.randomNode(rng)
 	switch rng.IntN(7) {
 	case 0:
-		s.lives(n)
+		s.checkAlive(n)
 		n.kill()
 		must.NoError(s.t, n.start())
 	case 1:
@@ -181,13 +181,13 @@
 		s.replaceEngine(rng, rng.IntN(2) == 0)
 		s.mu.Lock()
 		for _, e := range s.live {
-			s.arm(e)
+			s.crashOnBody(e)
 		}
 		s.mu.Unlock()
 	case 4:
 		s.configureKeys()
 	default:
-		for _, e := range s.services() {
+		for _, e := range s.limitedEngines() {
 			if rng.IntN(3) > 0 {
 				e.NameLimit(1 + 4*rng.Float64())
 			} else {
@@ -197,8 +197,8 @@
 	}
 }
 
-// services returns the engines of the call service but for the first, which names no limits.
-func (s *upgradeSoak) services() []*platformtest.Engine {
+// limitedEngines returns the engines of the call service except the first, which declares no limits.
+func (s *upgradeSoak) limitedEngines() []*platformtest.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []*platformtest.Engine
@@ -214,8 +214,8 @@
 func (s *upgradeSoak) configureKeys() {
 	s.version++
 	s.keyMu.Lock()
-	keys := []string{soakKey, leavingKey}
-	if !s.taken.IsZero() {
+	keys := []string{soakKey, revocableKey}
+	if !s.revokedAt.IsZero() {
 		keys = keys[:1]
 	}
 	s.keyMu.Unlock()
@@ -226,33 +226,33 @@
 	)
 }
 
-func (s *upgradeSoak) takeKey() {
+func (s *upgradeSoak) revokeKey() {
 	s.keyMu.Lock()
-	s.taken = time.Now()
+	s.revokedAt = time.Now()
 	s.keyMu.Unlock()
 	s.configureKeys()
 }
 
-// arm has an engine end under the request that ends engines, and start again.
-func (s *upgradeSoak) arm(e *platformtest.Engine) {
-	e.CrashOn(crashing, func() {
+// crashOnBody makes an engine crash on the crashing request, and restart after a while.
+func (s *upgradeSoak) crashOnBody(e *platformtest.Engine) {
+	e.CrashOn(crashingBody, func() {
 		s.keyMu.Lock()
 		s.crashes = append(s.crashes, time.Now())
 		s.keyMu.Unlock()
-		time.Sleep(downFor)
+		time.Sleep(engineDowntime)
 		if e.Again() {
 			s.store.ListEngine(e, false)
 		}
 	})
 }
 
-// sendTo makes one attempt at a random node, and notes which build it is of.
+// sendTo sends a call to a random node, and records if the node runs this build.
 func (s *upgradeSoak) sendTo(ctx context.Context, rng *rand.Rand, call platformtest.Call) (string, *http.Response, error) {
-	n := s.node(rng)
+	n := s.randomNode(rng)
 	call.ID = fmt.Sprintf("attempt-%d", s.ids.Add(1))
 	call.Host, call.Key = soakHost, cmp.Or(call.Key, soakKey)
-	if n.current().build == nil {
-		s.own.Store(call.ID, true)
+	if n.currentIncarnation().build == nil {
+		s.currentBuildCalls.Store(call.ID, true)
 	}
 	req, err := call.Request(ctx, n.listen)
 	if err != nil {
@@ -262,9 +262,9 @@
 	return call.ID, res, err
 }
 
-// streams asks for streams until ctx ends, and counts those that broke on the way; each must be a whole one, or a beginning of it.
-func (s *upgradeSoak) streams(ctx context.Context, rng *rand.Rand) {
-	for wait(ctx, upgradePause) {
+// sendStreams requests streams until ctx ends, and counts the complete and the broken ones. A broken one must be a prefix of the expected text.
+func (s *upgradeSoak) sendStreams(ctx context.Context, rng *rand.Rand) {
+	for sleepContext(ctx, upgradePause) {
 		id, res, err := s.sendTo(ctx, rng, platformtest.Call{Path: "/tell/x", Stream: true, Prompt: fmt.Sprintf("%x", rng.Uint32())})
 		if err != nil || res.StatusCode != http.StatusOK {
 			if err == nil {
@@ -282,15 +282,15 @@
 		case err != nil:
 			s.broken.Add(1)
 		default:
-			s.whole.Add(1)
+			s.complete.Add(1)
 			s.served.Add(1)
 		}
 	}
 }
 
-// calls sends calls until ctx ends.
-func (s *upgradeSoak) calls(ctx context.Context, rng *rand.Rand) {
-	for wait(ctx, upgradePause) {
+// sendCalls sends calls until ctx ends.
+func (s *upgradeSoak) sendCalls(ctx context.Context, rng *rand.Rand) {
+	for sleepContext(ctx, upgradePause) {
 		path := []string{"/look/x", "/buy/x"}[rng.IntN(2)]
 		id, res, err := s.sendTo(ctx, rng, platformtest.Call{Path: path})
 		status := 0
@@ -307,18 +307,18 @@
 		}
 		if path == "/buy/x" {
 			s.mu.Lock()
-			s.once = append(s.once, onceCall{id: id, status: status})
+			s.atMostOnce = append(s.atMostOnce, atMostOnceCall{id: id, status: status})
 			s.mu.Unlock()
 		}
 	}
 }
 
-// useKey goes on with a key that is taken away, and notes what comes of it.
-func (s *upgradeSoak) useKey(ctx context.Context, rng *rand.Rand) {
-	for wait(ctx, upgradePause) {
-		n := s.node(rng)
-		call := platformtest.Call{Path: "/look/x", Host: soakHost, Key: leavingKey, ID: fmt.Sprintf("attempt-%d", s.ids.Add(1))}
-		use := keyUse{life: fmt.Sprintf("%s %d", n.name, n.current().number), sent: time.Now()}
+// useRevocableKey keeps sending calls with the key that is revoked during the soak, and records their outcomes.
+func (s *upgradeSoak) useRevocableKey(ctx context.Context, rng *rand.Rand) {
+	for sleepContext(ctx, upgradePause) {
+		n := s.randomNode(rng)
+		call := platformtest.Call{Path: "/look/x", Host: soakHost, Key: revocableKey, ID: fmt.Sprintf("attempt-%d", s.ids.Add(1))}
+		use := keyUse{incarnation: fmt.Sprintf("%s %d", n.name, n.currentIncarnation().number), sent: time.Now()}
 		req, err := call.Request(ctx, n.listen)
 		if err != nil {
 			continue
@@ -329,31 +329,31 @@
 		}
 		_, _ = io.Copy(io.Discard, res.Body)
 		_ = res.Body.Close()
-		use.status, use.got = res.StatusCode, time.Now()
+		use.status, use.answered = res.StatusCode, time.Now()
 		s.keyMu.Lock()
-		s.keys = append(s.keys, use)
+		s.keyUses = append(s.keyUses, use)
 		s.keyMu.Unlock()
 	}
 }
 
-// repeatCrash sends the request that ends engines again and again.
-func (s *upgradeSoak) repeatCrash(ctx context.Context, rng *rand.Rand) {
-	for wait(ctx, crashEvery) {
-		id, res, err := s.sendTo(ctx, rng, platformtest.Call{Path: "/tell/x", Stream: true, Prompt: "aa", Body: crashing, Wait: time.Second})
+// sendCrashing repeats the crashing request until ctx ends.
+func (s *upgradeSoak) sendCrashing(ctx context.Context, rng *rand.Rand) {
+	for sleepContext(ctx, crashInterval) {
+		id, res, err := s.sendTo(ctx, rng, platformtest.Call{Path: "/tell/x", Stream: true, Prompt: "aa", Body: crashingBody, Wait: time.Second})
 		if err != nil {
 			continue
 		}
 		_, _ = io.Copy(io.Discard, res.Body)
 		_ = res.Body.Close()
 		if res.StatusCode == http.StatusOK && ctx.Err() == nil && res.Header.Get("Content-Length") != "" {
-			s.fail("the request that ends engines was answered: %s", id)
+			s.fail("the request that crashes engines was answered: %s", id)
 		}
 	}
 }
 
-// stayCalm disturbs nothing for a while.
-func (s *upgradeSoak) stayCalm() {
+// stayQuiet waits for a while without disruptions, and records when.
+func (s *upgradeSoak) stayQuiet() {
 	began := time.Now()
-	time.Sleep(calmFor)
-	s.calm = append(s.calm, span{began, time.Now()})
+	time.Sleep(quietTime)
+	s.quiet = append(s.quiet, span{began, time.Now()})
 }
--- a/cmd/vaneyoked/wake_test.go
+++ b/cmd/vaneyoked/wake_test.go
@@ -19,9 +19,9 @@
 	"github.com/vaneyoke/vaneyoke/platform/platformtest"
 )
 
-// TestNodeThatWakesAfterItsGraceAnswers freezes a stopping node past its grace; on waking it still owes the callers of
-// hanging calls their last answers.
-func TestNodeThatWakesAfterItsGraceAnswers(t *testing.T) {
+// TestNodeResumedAfterGraceAnswersCallers freezes a stopping node until its grace has passed, while an engine hangs. When the node
+// resumes, it must still answer the waiting callers instead of closing their connections.
+func TestNodeResumedAfterGraceAnswersCallers(t *testing.T) {
 	store := platformtest.NewStore()
 	t.Cleanup(store.Close)
 	engine := platformtest.NewEngine("s1", "shop", "a")
@@ -31,7 +31,7 @@
 	store.Configure(1, "stall.example", "key", platformtest.Route{Name: "buy", Kind: platformtest.Once, Service: "shop", Attempts: 1})
 	readiness, listen := freeAddress(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "node.ini")
-	text := filledTemplate(t, store.Address(), listen, readiness, "127.0.0.1:0")
+	text := renderDeployedSettings(t, store.Address(), listen, readiness, "127.0.0.1:0")
 	text = strings.Replace(text, "grace = 8s", "grace = 3s", 1)
 	must.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	cmd := exec.Command(os.Args[0])
@@ -39,10 +39,10 @@
 	cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
 	must.NoError(t, cmd.Start())
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
-	untilReady(t, "http://"+readiness+"/readyz")
+	waitReady(t, "http://"+readiness+"/readyz")
 	time.Sleep(time.Second)
 	must.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-	time.Sleep(500 * time.Millisecond) // the call's own bound is eight seconds, so that it is not over before the wake
+	time.Sleep(500 * time.Millisecond) // the call's own timeout is 8 s, so that it does not expire before the node resumes
 	const calls = 40
 	conns := make([]net.Conn, calls)
 	for i := range conns {
@@ -60,14 +60,14 @@
 		must.Less(t, 2*time.Second, time.Since(began))
 	}
 	must.NoError(t, cmd.Process.Signal(syscall.SIGSTOP))
-	time.Sleep(3500 * time.Millisecond) // the grace is three
+	time.Sleep(3500 * time.Millisecond) // the grace is 3 s
 	must.NoError(t, cmd.Process.Signal(syscall.SIGCONT))
-	without := 0
+	unanswered := 0
 	for _, conn := range conns {
 		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
-			without++
+			unanswered++
 		}
 	}
-	must.Zero(t, without, must.Sprintf("%d of %d calls ran, and their connections were closed without an answer", without, calls))
+	must.Zero(t, unanswered, must.Sprintf("%d of %d calls ran, but their connections were closed without an answer", unanswered, calls))
 }
