--- a/cmd/vaneyoke/admin.go
+++ b/cmd/vaneyoke/admin.go
@@ -18,7 +18,7 @@
 	"github.com/vaneyoke/vaneyoke/tools/client"
 )
 
-// adminFlags are the flags of every command that speaks to the operator API.
+// adminFlags returns the flags of a command that calls the operator API, with those of its own.
 func adminFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "admin", Value: "http://127.0.0.1:8081", Usage: "address of a node's operator API", Sources: cli.EnvVars("VANEYOKE_ADMIN")},
@@ -27,12 +27,12 @@
 	}, more...)
 }
 
-// ifMatchFlag guards a change by the version that its author saw.
+// ifMatchFlag returns the flag for a conditional change, which fails unless the changed object still has the given version.
 func ifMatchFlag() cli.Flag {
 	return &cli.StringFlag{Name: "if-match", Usage: "version of what is changed, as get tells it"}
 }
 
-// adminCall is one call of the operator API.
+// adminCall is a request to the operator API.
 type adminCall struct {
 	method  string
 	path    string
@@ -40,7 +40,7 @@
 	ifMatch string
 }
 
-// call makes a call and decodes its answer into out; it returns the answer's ETag.
+// call sends a request, decodes its answer into out and returns the answer's ETag.
 func call(ctx context.Context, cmd *cli.Command, c adminCall, out any) (string, error) {
 	var body io.Reader = http.NoBody
 	if c.body != nil {
@@ -72,12 +72,12 @@
 		if err := json.NewDecoder(res.Body).Decode(&failure); err != nil {
 			return "", err
 		}
-		return "", codedFailure(&client.FailedError{Status: res.StatusCode, Detail: failure.Failure})
+		return "", withResultCode(&client.FailedError{Status: res.StatusCode, Detail: failure.Failure})
 	}
 	return res.Header.Get("ETag"), json.NewDecoder(res.Body).Decode(out)
 }
 
-// printJSON prints a value for programs where the command was asked to, and reports whether it was.
+// printJSON prints a value as JSON if the command has --json, and reports whether it has.
 func printJSON(cmd *cli.Command, v any) (bool, error) {
 	if !cmd.Bool("json") {
 		return false, nil
@@ -86,24 +86,24 @@
 	return true, encoder.Encode(v)
 }
 
-// table prints rows for people.
-func table(cmd *cli.Command, head string, rows func(w io.Writer)) error {
+// printTable prints rows in aligned columns.
+func printTable(cmd *cli.Command, head string, rows func(w io.Writer)) error {
 	w := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, head)
 	rows(w)
 	return w.Flush()
 }
 
-// accepted is the answer to a change.
-type accepted struct {
+// changeResult is the answer to a change.
+type changeResult struct {
 	Revision vaneyoke.Revision `json:"revision"`
 	InForce  int               `json:"in_force"`
 	Nodes    int               `json:"nodes"`
 }
 
-// change makes a change and tells how far it is in force; with --wait it waits for all nodes.
+// change makes a change and prints on how many nodes it is active. With --wait it first waits for all nodes that can be reached.
 func change(ctx context.Context, cmd *cli.Command, c adminCall) error {
-	var out accepted
+	var out changeResult
 	etag, err := call(ctx, cmd, c, &out)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	return &cli.BoolFlag{Name: "wait", Usage: "wait until the change is in force at every node that can be reached"}
 }
 
-// statusBody is the answer to a question for the status.
+// statusBody is the answer to a status request.
 type statusBody struct {
 	Revision vaneyoke.Revision        `json:"revision"`
 	Fresh    bool                     `json:"fresh"`
@@ -144,7 +144,7 @@
 			if done, err := printJSON(cmd, out); done {
 				return err
 			}
-			return table(cmd, "VM\tDATA CENTRE\tREACHED\tREVISION\tBEHIND", func(w io.Writer) {
+			return printTable(cmd, "VM\tDATA CENTRE\tREACHED\tREVISION\tBEHIND", func(w io.Writer) {
 				for _, n := range out.Nodes {
 					fmt.Fprintf(w, "%s\t%s\t%t\t%d\t%d\n", n.VM, n.DataCentre, n.Reached, n.Revision, n.Behind)
 				}
@@ -177,7 +177,7 @@
 			if done, err := printJSON(cmd, out); done {
 				return err
 			}
-			return table(cmd, "REVISION\tAT\tACTOR\tACTION", func(w io.Writer) {
+			return printTable(cmd, "REVISION\tAT\tACTOR\tACTION", func(w io.Writer) {
 				for _, e := range out.Entries {
 					fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", e.Revision, e.At, e.Actor, e.Action)
 				}
--- a/cmd/vaneyoke/demo.go
+++ b/cmd/vaneyoke/demo.go
@@ -20,7 +20,7 @@
 
 const (
 	demoTokens   = 160
-	demoKillAt   = 0.5 // share of the answer after which its engine is killed
+	demoKillAt   = 0.5 // fraction of the answer after which its engine is killed
 	demoPrompt   = "Reconcile the night manifest of the Derby depot with the sorting rules."
 	demoTimeout  = 30 * time.Second
 	demoOrder    = `{"order":"carpet-17"}`
@@ -43,12 +43,12 @@
 
 // demo is one run of the demonstration.
 type demo struct {
-	out     io.Writer
-	fleet   *fleet.Fleet
-	text    strings.Builder
-	last    time.Time
-	longest time.Duration // longest time between two pieces of the answer
-	killed  bool
+	out        io.Writer
+	fleet      *fleet.Fleet
+	text       strings.Builder
+	lastAt     time.Time
+	longestGap time.Duration // between two chunks of the answer
+	killed     bool
 }
 
 func runDemo(ctx context.Context, out io.Writer) error {
@@ -92,18 +92,18 @@
 		if err != nil {
 			return vaneyoke.WrapErr(vaneyoke.CodeCheckViolation, err, "the stream broke off")
 		}
-		d.take(piece)
+		d.handle(piece)
 	}
 	return nil
 }
 
-// take shows a piece of the answer, and kills the engine in the middle.
-func (d *demo) take(piece client.Piece) {
+// handle prints a chunk of the answer, and kills its engine once after demoKillAt of the answer.
+func (d *demo) handle(piece client.Piece) {
 	now := time.Now()
-	if !d.last.IsZero() {
-		d.longest = max(d.longest, now.Sub(d.last))
+	if !d.lastAt.IsZero() {
+		d.longestGap = max(d.longestGap, now.Sub(d.lastAt))
 	}
-	d.last = now
+	d.lastAt = now
 	d.text.WriteString(piece.Text)
 	fmt.Fprint(d.out, piece.Text)
 	if engine := d.fleet.Engine(); !d.killed && engine != nil && d.text.Len() > demoTokens*demoKillAt*tokenBytes {
@@ -113,7 +113,7 @@
 	}
 }
 
-// tokenBytes is the length of a stand-in token's text.
+// tokenBytes is the length of the text of a stand-in engine's token.
 const tokenBytes = 8
 
 func (d *demo) report() error {
@@ -132,17 +132,17 @@
 	}
 	fmt.Fprintf(d.out, "\n\ntokens            %d, each in its place\n", report.Tokens)
 	fmt.Fprintf(d.out, "seam              at token %d\n", report.Seams[0])
-	fmt.Fprintf(d.out, "resume latency    %s between two pieces, engine prefill included\n", d.longest.Round(time.Microsecond))
+	fmt.Fprintf(d.out, "resume latency    %s between two pieces, engine prefill included\n", d.longestGap.Round(time.Microsecond))
 	fmt.Fprintf(d.out, "extra decoded     %d tokens\n", decoded-int64(report.Tokens))
 	fmt.Fprintf(d.out, "extra prefilled   %d tokens\n", prefilled-int64(len(prompt)))
 	return nil
 }
 
-// callOnce makes a call that may run at most once through another node.
+// callOnce sends an at-most-once call through another node, and checks that it ran once.
 func (d *demo) callOnce(ctx context.Context) error {
 	answer, err := d.client(1).Call(ctx, fleet.Service, "reserve", []byte(demoOrder), nil)
 	if err != nil {
-		return codedFailure(err)
+		return withResultCode(err)
 	}
 	fmt.Fprintf(d.out, "service call      %s", answer)
 	for order, runs := range d.fleet.Services[0].Orders() {
--- a/cmd/vaneyoke/dev.go
+++ b/cmd/vaneyoke/dev.go
@@ -38,10 +38,10 @@
 	}
 }
 
-func atLeast(least int) func(int) error {
+func atLeast(limit int) func(int) error {
 	return func(n int) error {
-		if n < least {
-			return fmt.Errorf("must be at least %d, got %d", least, n)
+		if n < limit {
+			return fmt.Errorf("must be at least %d, got %d", limit, n)
 		}
 		return nil
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// ready tells programs where the parts of a fleet are.
-type ready struct {
+// endpoints holds the addresses and keys of a fleet; --json prints it for programs.
+type endpoints struct {
 	Nodes       []string  `json:"nodes"`
 	Admin       []string  `json:"admin"`
 	Engines     []address `json:"engines"`
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if err := announce(cmd, f); err != nil {
+	if err := printEndpoints(cmd, f); err != nil {
 		f.Close()
 		return err
 	}
@@ -98,28 +98,28 @@
 	return f.Stop(context.WithoutCancel(ctx))
 }
 
-func announce(cmd *cli.Command, f *fleet.Fleet) error {
-	r := describe(f)
+func printEndpoints(cmd *cli.Command, f *fleet.Fleet) error {
+	e := fleetEndpoints(f)
 	out := cmd.Root().Writer
 	if cmd.Bool("json") {
-		return json.NewEncoder(out).Encode(r)
+		return json.NewEncoder(out).Encode(e)
 	}
 	_, err := fmt.Fprintf(out, "nodes     %v\nadmin     %v\nengines   %v\nservices  %v\nplatform  %s\nkey       %s\n",
-		r.Nodes, r.Admin, r.Engines, r.Services, r.Platform, r.CallerKey)
+		e.Nodes, e.Admin, e.Engines, e.Services, e.Platform, e.CallerKey)
 	return err
 }
 
-func describe(f *fleet.Fleet) ready {
-	r := ready{Platform: f.Platform.URL(), CallerKey: fleet.CallerKey, OperatorKey: fleet.OperatorKey, Services: []address{}}
-	r.Nodes = lo.Map(f.Nodes, func(n *node.Node, _ int) string { return n.URL() })
-	r.Admin = lo.Map(f.Nodes, func(n *node.Node, _ int) string { return n.AdminURL() })
+func fleetEndpoints(f *fleet.Fleet) endpoints {
+	e := endpoints{Platform: f.Platform.URL(), CallerKey: fleet.CallerKey, OperatorKey: fleet.OperatorKey, Services: []address{}}
+	e.Nodes = lo.Map(f.Nodes, func(n *node.Node, _ int) string { return n.URL() })
+	e.Admin = lo.Map(f.Nodes, func(n *node.Node, _ int) string { return n.AdminURL() })
 	for _, u := range f.Upstreams() {
 		entry := address{Name: string(u.ID), URL: u.URL}
 		if u.Kind == vaneyoke.KindEngine {
-			r.Engines = append(r.Engines, entry)
+			e.Engines = append(e.Engines, entry)
 		} else {
-			r.Services = append(r.Services, entry)
+			e.Services = append(e.Services, entry)
 		}
 	}
-	return r
+	return e
 }
--- a/cmd/vaneyoke/docs.go
+++ b/cmd/vaneyoke/docs.go
@@ -13,7 +13,7 @@
 	"github.com/vaneyoke/vaneyoke/process/telemetry"
 )
 
-// docsCommand writes the pages that stand for tables in the code; it is for the project's own developers.
+// docsCommand returns the command that generates documentation from tables in the code. It is for developers of this project.
 func docsCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "docs",
@@ -32,7 +32,7 @@
 	}
 }
 
-// writeEvents writes the table of events into the operators' page, whose last part it is.
+// writeEvents replaces the Events section of the operators' page, which is its last section.
 func writeEvents(path string) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/vaneyoke/explain.go
+++ b/cmd/vaneyoke/explain.go
@@ -17,16 +17,16 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// around are the events that tell what a node believed; they are shown with a request's own where they came while it ran.
-var around = []string{
+// contextEvents are the events that describe the state of a node. Those logged while a request ran are shown with its own events.
+var contextEvents = []string{
 	"configuration_in_force", "history_lost", "leaves_store", "node_started", "node_stopped", "node_stopping", "peer_lost", "reads_store",
 	"row_unreadable", "settings_reloaded", "store_lost", "store_regained", "tables_fresh", "tables_offered", "tables_old",
 	"upstream_leaves", "upstream_pushed_back",
 }
 
-const longestLogLine = 1 << 20
+const maxLogLine = 1 << 20
 
-// logLine is one event of one node's log.
+// logLine is an event from a node's log.
 type logLine struct {
 	File   string            `json:"file"`
 	Time   string            `json:"time"`
@@ -51,19 +51,19 @@
 }
 
 func explainRequest(out io.Writer, request string, files []string, asJSON bool) error {
-	var story []logLine
+	var events []logLine
 	for _, file := range files {
 		lines, err := readLog(file)
 		if err != nil {
 			return err
 		}
-		story = append(story, storyOf(request, lines)...)
+		events = append(events, requestEvents(request, lines)...)
 	}
-	if len(story) == 0 {
+	if len(events) == 0 {
 		return vaneyoke.Err(vaneyoke.CodeNotFound, "no event of request %s in %s", request, strings.Join(files, ", "))
 	}
-	slices.SortStableFunc(story, func(a, b logLine) int { return strings.Compare(a.Time, b.Time) })
-	for _, line := range story {
+	slices.SortStableFunc(events, func(a, b logLine) int { return strings.Compare(a.Time, b.Time) })
+	for _, line := range events {
 		if err := printLine(out, line, asJSON); err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// readLog returns a file's events; lines of other programs are passed over.
+// readLog returns the events of a file. Lines that are not from a node are skipped.
 func readLog(file string) ([]logLine, error) {
 	f, err := os.Open(file) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -80,7 +80,7 @@
 	defer func() { _ = f.Close() }()
 	var lines []logLine
 	scanner := bufio.NewScanner(f)
-	scanner.Buffer(nil, longestLogLine)
+	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
 		if line, ok := parseLine(scanner.Text()); ok {
 			line.File, line.order = file, len(lines)
@@ -93,7 +93,7 @@
 	return lines, nil
 }
 
-// parseLine reads a line of key=value pairs, from its time on.
+// parseLine parses a logfmt line, beginning at its time field.
 func parseLine(text string) (logLine, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -117,8 +117,8 @@
 	return line, decoder.Err() == nil && line.Event != ""
 }
 
-// storyOf returns a request's own events and, between the first and the last of them, what the node learned.
-func storyOf(request string, lines []logLine) []logLine {
+// requestEvents returns a request's own events and the context events between the first and the last of them.
+func requestEvents(request string, lines []logLine) []logLine {
 	first, last := -1, -1
 	for i, line := range lines {
 		if line.Fields["request"] == request {
@@ -132,7 +132,7 @@
 		return nil
 	}
 	return slices.DeleteFunc(slices.Clone(lines[first:last+1]), func(line logLine) bool {
-		return line.Fields["request"] != request && !slices.Contains(around, line.Event)
+		return line.Fields["request"] != request && !slices.Contains(contextEvents, line.Event)
 	})
 }
 
--- a/cmd/vaneyoke/fleet.go
+++ b/cmd/vaneyoke/fleet.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	fleetAsksAtOnce = 32 // nodes that are asked at the same time
-	fleetNamesShown = 8  // names in a line
+	maxConcurrentQueries = 32 // nodes that are queried at the same time
+	maxNamesShown        = 8  // in a line
 )
 
-// nodeBelief is what one node told of itself.
-type nodeBelief struct {
-	VM      vaneyoke.VMID        `json:"vm"`
-	Version vaneyoke.Revision    `json:"version"`
-	Build   string               `json:"build"`  // "" where its build does not tell
-	Speaks  feed.ProtocolVersion `json:"speaks"` // what its build understands
-	Part    mesh.NodeStatus      `json:"part"`
-	Leases  leaseViews           `json:"leases,omitempty"`
-	Silent  bool                 `json:"silent,omitempty"` // whether it did not answer
+// nodeState is the state that a node reports.
+type nodeState struct {
+	VM       vaneyoke.VMID        `json:"vm"`
+	Version  vaneyoke.Revision    `json:"version"`
+	Build    string               `json:"build"`  // "" if its build does not report it
+	Protocol feed.ProtocolVersion `json:"speaks"` // version of the peer protocol that its build supports
+	Status   mesh.NodeStatus      `json:"part"`
+	Leases   leaseViews           `json:"leases,omitempty"`
+	Silent   bool                 `json:"silent,omitempty"` // true if it did not answer
 }
 
-// leaseViews are what a node knows of the leases of duties.
+// leaseViews holds what a node knows of the leases of duties.
 type leaseViews map[lease.Name]duties.LeaseView
 
-// fleetBelief is what the nodes of a fleet believe.
-type fleetBelief struct {
-	Nodes []nodeBelief `json:"nodes"` // by VM
+// fleetState holds the states that the nodes of a fleet report.
+type fleetState struct {
+	Nodes []nodeState `json:"nodes"` // sorted by VM
 }
 
 func fleetCommand() *cli.Command {
@@ -57,51 +57,51 @@
 			&cli.BoolFlag{Name: "json", Usage: "print what each node told as JSON"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			belief, err := askFleet(ctx, &http.Client{Timeout: cmd.Duration("wait")}, cmd.String("admin"))
+			state, err := queryFleet(ctx, &http.Client{Timeout: cmd.Duration("wait")}, cmd.String("admin"))
 			if err != nil {
 				return err
 			}
 			if cmd.Bool("json") {
-				return json.NewEncoder(cmd.Root().Writer).Encode(belief)
+				return json.NewEncoder(cmd.Root().Writer).Encode(state)
 			}
-			belief.print(cmd.Root().Writer)
+			state.print(cmd.Root().Writer)
 			return nil
 		},
 	}
 }
 
-// askFleet asks one node for the members, and each of them what it believes.
-func askFleet(ctx context.Context, client *http.Client, admin string) (fleetBelief, error) {
+// queryFleet gets the list of members from one node, and the state of each of them.
+func queryFleet(ctx context.Context, client *http.Client, admin string) (fleetState, error) {
 	_, port, err := net.SplitHostPort(admin)
 	if err != nil {
-		return fleetBelief{}, vaneyoke.WrapErr(vaneyoke.CodeUsage, err, "--admin")
+		return fleetState{}, vaneyoke.WrapErr(vaneyoke.CodeUsage, err, "--admin")
 	}
 	var members []feed.Member
 	if err := getJSON(ctx, client, "http://"+admin+"/debug/members", &members); err != nil {
-		return fleetBelief{}, vaneyoke.WrapErr(vaneyoke.CodeUsage, err, "--admin")
+		return fleetState{}, vaneyoke.WrapErr(vaneyoke.CodeUsage, err, "--admin")
 	}
-	belief := fleetBelief{Nodes: make([]nodeBelief, len(members))}
-	turns := make(chan struct{}, fleetAsksAtOnce)
+	state := fleetState{Nodes: make([]nodeState, len(members))}
+	semaphore := make(chan struct{}, maxConcurrentQueries)
 	var wait sync.WaitGroup
 	for i, m := range members {
 		wait.Go(func() {
-			turns <- struct{}{}
-			defer func() { <-turns }()
-			belief.Nodes[i] = askNode(ctx, client, m, port)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			state.Nodes[i] = queryNode(ctx, client, m, port)
 		})
 	}
 	wait.Wait()
-	slices.SortFunc(belief.Nodes, func(a, b nodeBelief) int { return cmp.Compare(a.VM, b.VM) })
-	return belief, nil
+	slices.SortFunc(state.Nodes, func(a, b nodeState) int { return cmp.Compare(a.VM, b.VM) })
+	return state, nil
 }
 
-func askNode(ctx context.Context, client *http.Client, m feed.Member, port string) nodeBelief {
+func queryNode(ctx context.Context, client *http.Client, m feed.Member, port string) nodeState {
 	var vars struct {
 		Version vaneyoke.Revision `json:"configuration_version"`
 		Build   string
 		Speaks  feed.ProtocolVersion
 		Mesh    struct {
-			Part mesh.NodeStatus `json:"part"`
+			Status mesh.NodeStatus `json:"part"`
 		} `json:"mesh"`
 		Duties struct {
 			Leases leaseViews `json:"leases"`
@@ -111,7 +111,7 @@
 	if err == nil {
 		err = getJSON(ctx, client, "http://"+net.JoinHostPort(host, port)+"/debug/vars", &vars)
 	}
-	return nodeBelief{VM: m.VM, Version: vars.Version, Build: vars.Build, Speaks: vars.Speaks, Part: vars.Mesh.Part, Leases: vars.Duties.Leases, Silent: err != nil}
+	return nodeState{VM: m.VM, Version: vars.Version, Build: vars.Build, Protocol: vars.Speaks, Status: vars.Mesh.Status, Leases: vars.Duties.Leases, Silent: err != nil}
 }
 
 func getJSON(ctx context.Context, client *http.Client, url string, into any) error {
@@ -130,79 +130,79 @@
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
-// print writes the belief on one screen, whatever the number of nodes.
-func (b fleetBelief) print(w io.Writer) {
-	told := lo.Filter(b.Nodes, func(n nodeBelief, _ int) bool { return !n.Silent })
-	fmt.Fprintf(w, "nodes      %d registered, %d answered\n", len(b.Nodes), len(told))
-	versions := lo.GroupBy(told, func(n nodeBelief) vaneyoke.Revision { return n.Version })
+// print writes a summary whose length does not grow with the number of nodes.
+func (s fleetState) print(w io.Writer) {
+	answered := lo.Filter(s.Nodes, func(n nodeState, _ int) bool { return !n.Silent })
+	fmt.Fprintf(w, "nodes      %d registered, %d answered\n", len(s.Nodes), len(answered))
+	versions := lo.GroupBy(answered, func(n nodeState) vaneyoke.Revision { return n.Version })
 	newest := lo.Keys(versions)
 	slices.SortFunc(newest, func(a, b vaneyoke.Revision) int { return cmp.Compare(b, a) })
 	for i, version := range newest {
 		names := ""
 		if i > 0 {
-			names = ": " + namesOf(versions[version])
+			names = ": " + joinNodeNames(versions[version])
 		}
 		fmt.Fprintf(w, "version    %d at %d%s\n", version, len(versions[version]), names)
 	}
-	printBuilds(w, told)
-	readers := lo.Filter(told, func(n nodeBelief, _ int) bool { return n.Part.Reading == feed.ReadAll.String() })
-	fmt.Fprintf(w, "reads      %s\n", namesOf(readers))
-	printDuties(w, told)
-	confirmed := lo.Uniq(lo.FilterMap(told, func(n nodeBelief, _ int) (string, bool) { return string(n.Part.Reader), n.Part.Fresh }))
+	printBuilds(w, answered)
+	readers := lo.Filter(answered, func(n nodeState, _ int) bool { return n.Status.Reading == feed.ReadAll.String() })
+	fmt.Fprintf(w, "reads      %s\n", joinNodeNames(readers))
+	printDuties(w, answered)
+	confirmed := lo.Uniq(lo.FilterMap(answered, func(n nodeState, _ int) (string, bool) { return string(n.Status.Reader), n.Status.Fresh }))
 	slices.Sort(confirmed)
-	fmt.Fprintf(w, "confirmed  by the store to %s\n", orNobody(confirmed))
-	old := lo.Filter(told, func(n nodeBelief, _ int) bool { return !n.Part.Fresh })
-	fmt.Fprintf(w, "old        tables of %s\n", namesOf(old))
-	silent := lo.Filter(b.Nodes, func(n nodeBelief, _ int) bool { return n.Silent })
-	fmt.Fprintf(w, "silent     %s\n", namesOf(silent))
-	if len(told) > 0 {
-		most := lo.MaxBy(told, func(a, b nodeBelief) bool { return a.Part.Followers > b.Part.Followers })
-		fmt.Fprintf(w, "followers  at most %d (%s)\n", most.Part.Followers, most.VM)
+	fmt.Fprintf(w, "confirmed  by the store to %s\n", joinNames(confirmed))
+	stale := lo.Filter(answered, func(n nodeState, _ int) bool { return !n.Status.Fresh })
+	fmt.Fprintf(w, "old        tables of %s\n", joinNodeNames(stale))
+	silent := lo.Filter(s.Nodes, func(n nodeState, _ int) bool { return n.Silent })
+	fmt.Fprintf(w, "silent     %s\n", joinNodeNames(silent))
+	if len(answered) > 0 {
+		most := lo.MaxBy(answered, func(a, b nodeState) bool { return a.Status.Followers > b.Status.Followers })
+		fmt.Fprintf(w, "followers  at most %d (%s)\n", most.Status.Followers, most.VM)
 	}
 }
 
-// printDuties writes which node holds each duty, by the nodes' own word.
-func printDuties(w io.Writer, told []nodeBelief) {
-	names := lo.Uniq(lo.FlatMap(told, func(n nodeBelief, _ int) []lease.Name { return lo.Keys(n.Leases) }))
+// printDuties writes which nodes report to hold each duty, and the highest fencing token that is reported.
+func printDuties(w io.Writer, answered []nodeState) {
+	names := lo.Uniq(lo.FlatMap(answered, func(n nodeState, _ int) []lease.Name { return lo.Keys(n.Leases) }))
 	slices.Sort(names)
 	for _, name := range names {
-		holders := lo.Filter(told, func(n nodeBelief, _ int) bool { return n.Leases[name].Held })
-		fence := lo.Max(lo.Map(told, func(n nodeBelief, _ int) lease.FencingToken { return n.Leases[name].Token }))
-		fmt.Fprintf(w, "duty       %s: held by %s, token %d\n", name, namesOf(holders), fence)
+		holders := lo.Filter(answered, func(n nodeState, _ int) bool { return n.Leases[name].Held })
+		token := lo.Max(lo.Map(answered, func(n nodeState, _ int) lease.FencingToken { return n.Leases[name].Token }))
+		fmt.Fprintf(w, "duty       %s: held by %s, token %d\n", name, joinNodeNames(holders), token)
 	}
 }
 
-// printBuilds writes how many nodes run each build, and what it understands; the nodes of all but the commonest are named.
-func printBuilds(w io.Writer, told []nodeBelief) {
+// printBuilds writes how many nodes run each build and its protocol version. It names the nodes of all builds but the most common one.
+func printBuilds(w io.Writer, answered []nodeState) {
 	type build struct {
-		name   string
-		speaks feed.ProtocolVersion
+		name     string
+		protocol feed.ProtocolVersion
 	}
-	groups := lo.GroupBy(told, func(n nodeBelief) build { return build{cmp.Or(n.Build, "an earlier one"), n.Speaks} })
+	groups := lo.GroupBy(answered, func(n nodeState) build { return build{cmp.Or(n.Build, "an earlier one"), n.Protocol} })
 	builds := lo.Keys(groups)
 	slices.SortFunc(builds, func(a, b build) int {
-		return cmp.Or(cmp.Compare(len(groups[b]), len(groups[a])), cmp.Compare(a.name, b.name), cmp.Compare(a.speaks, b.speaks))
+		return cmp.Or(cmp.Compare(len(groups[b]), len(groups[a])), cmp.Compare(a.name, b.name), cmp.Compare(a.protocol, b.protocol))
 	})
 	for i, b := range builds {
 		names := ""
 		if i > 0 {
-			names = ": " + namesOf(groups[b])
+			names = ": " + joinNodeNames(groups[b])
 		}
-		fmt.Fprintf(w, "build      %s, speaks %d, at %d%s\n", b.name, b.speaks, len(groups[b]), names)
+		fmt.Fprintf(w, "build      %s, speaks %d, at %d%s\n", b.name, b.protocol, len(groups[b]), names)
 	}
 }
 
-// namesOf returns the names of some nodes, or how many they are beyond a few.
-func namesOf(nodes []nodeBelief) string {
-	return orNobody(lo.Map(nodes, func(n nodeBelief, _ int) string { return string(n.VM) }))
+// joinNodeNames returns the names of at most maxNamesShown nodes, and how many more there are.
+func joinNodeNames(nodes []nodeState) string {
+	return joinNames(lo.Map(nodes, func(n nodeState, _ int) string { return string(n.VM) }))
 }
 
-func orNobody(names []string) string {
+func joinNames(names []string) string {
 	switch {
 	case len(names) == 0:
 		return "nobody"
-	case len(names) > fleetNamesShown:
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:fleetNamesShown], ", "), len(names)-fleetNamesShown)
+	case len(names) > maxNamesShown:
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNamesShown], ", "), len(names)-maxNamesShown)
 	default:
 		return strings.Join(names, ", ")
 	}
--- a/cmd/vaneyoke/fleet_test.go
+++ b/cmd/vaneyoke/fleet_test.go
@@ -17,8 +17,8 @@
 	"github.com/vaneyoke/vaneyoke/shell/mesh"
 )
 
-// TestFleetInOneScreen asks nodes of which one is behind, one has old tables and one does not answer.
-func TestFleetInOneScreen(t *testing.T) {
+// TestFleetSummary queries a fleet in which one node has an older configuration, one has stale tables and one does not answer.
+func TestFleetSummary(t *testing.T) {
 	const nodes = 40
 	var members []feed.Member
 	port := ""
@@ -31,18 +31,18 @@
 		mux := http.NewServeMux()
 		mux.HandleFunc("/debug/members", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(members) })
 		mux.HandleFunc("/debug/vars", func(w http.ResponseWriter, _ *http.Request) {
-			part := mesh.NodeStatus{Source: "edge-00", Reading: "nothing", Fresh: true, Reader: "edge-00"}
+			status := mesh.NodeStatus{Source: "edge-00", Reading: "nothing", Fresh: true, Reader: "edge-00"}
 			version := 12
 			switch i {
 			case 0:
-				part = mesh.NodeStatus{Followers: 4, Reading: "all", Fresh: true, Reader: "edge-00"}
+				status = mesh.NodeStatus{Followers: 4, Reading: "all", Fresh: true, Reader: "edge-00"}
 			case 3:
 				version = 11
 			case 5:
-				part = mesh.NodeStatus{Reading: "once", AgeMs: 31200, Reader: "edge-00"}
+				status = mesh.NodeStatus{Reading: "once", AgeMs: 31200, Reader: "edge-00"}
 			}
-			vars := map[string]any{"configuration_version": version, "mesh": map[string]any{"part": part}}
-			if i != 3 && i != 7 { // the builds of these two do not tell
+			vars := map[string]any{"configuration_version": version, "mesh": map[string]any{"part": status}}
+			if i != 3 && i != 7 { // the builds of these two do not report their version
 				vars["build"], vars["speaks"] = "0.1.0-049c5c6", 1
 			}
 			if i < 2 {
@@ -51,7 +51,7 @@
 			_ = json.NewEncoder(w).Encode(vars)
 		})
 		host := fmt.Sprintf("127.9.1.%d:", i+1)
-		l, err := net.Listen("tcp", host+either(port, "0"))
+		l, err := net.Listen("tcp", host+orDefault(port, "0"))
 		must.NoError(t, err)
 		_, port, err = net.SplitHostPort(l.Addr().String())
 		must.NoError(t, err)
@@ -78,27 +78,27 @@
 
 	out.Reset()
 	must.NoError(t, cmd.Run(t.Context(), []string{"vaneyoke", "fleet", "--json", "--admin", "127.9.1.1:" + port}))
-	var belief fleetBelief
-	must.NoError(t, json.Unmarshal(out.Bytes(), &belief))
-	must.Len(t, nodes, belief.Nodes)
-	must.EqOp(t, 31200, belief.Nodes[5].Part.AgeMs)
+	var state fleetState
+	must.NoError(t, json.Unmarshal(out.Bytes(), &state))
+	must.Len(t, nodes, state.Nodes)
+	must.EqOp(t, 31200, state.Nodes[5].Status.AgeMs)
 
 	must.Error(t, command().Run(t.Context(), []string{"vaneyoke", "fleet", "--admin", "nowhere"}))
 }
 
-func either(given, other string) string {
+func orDefault(given, fallback string) string {
 	if given == "" {
-		return other
+		return fallback
 	}
 	return given
 }
 
-// TestNamesBeyondAFew holds that a line does not grow with the fleet.
-func TestNamesBeyondAFew(t *testing.T) {
-	var nodes []nodeBelief
-	must.EqOp(t, "nobody", namesOf(nodes))
+// TestLongNameListsAreShortened checks that the length of a line does not grow with the fleet.
+func TestLongNameListsAreShortened(t *testing.T) {
+	var nodes []nodeState
+	must.EqOp(t, "nobody", joinNodeNames(nodes))
 	for i := range 300 {
-		nodes = append(nodes, nodeBelief{VM: vaneyoke.VMID(fmt.Sprint(i))})
+		nodes = append(nodes, nodeState{VM: vaneyoke.VMID(fmt.Sprint(i))})
 	}
-	must.EqOp(t, "0, 1, 2, 3, 4, 5, 6, 7 and 292 more", namesOf(nodes))
+	must.EqOp(t, "0, 1, 2, 3, 4, 5, 6, 7 and 292 more", joinNodeNames(nodes))
 }
--- a/cmd/vaneyoke/generate.go
+++ b/cmd/vaneyoke/generate.go
@@ -42,12 +42,12 @@
 		MaxTokens: vaneyoke.Tokens(cmd.Int("max-tokens")),
 	}, nil)
 	if err != nil {
-		return codedFailure(err)
+		return withResultCode(err)
 	}
 	defer func() { _ = stream.Close() }()
 	for piece, err := range stream.All() {
 		if err != nil {
-			return codedFailure(err)
+			return withResultCode(err)
 		}
 		if _, err := fmt.Fprint(cmd.Root().Writer, piece.Text); err != nil {
 			return err
@@ -57,8 +57,8 @@
 	return err
 }
 
-// codedFailure gives an error the result code that the node told.
-func codedFailure(err error) error {
+// withResultCode wraps an error with the result code that the node reported.
+func withResultCode(err error) error {
 	failed, ok := errors.AsType[*client.FailedError](err)
 	if !ok {
 		return vaneyoke.WrapErr(vaneyoke.CodeInterrupted, err, "the node cannot be reached or broke off")
--- a/cmd/vaneyoke/load.go
+++ b/cmd/vaneyoke/load.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// loadConfig reads the file, over which flags that were given go.
+// loadConfig reads the load file, if any. Flags that are set override its values.
 func loadConfig(cmd *cli.Command) (load.Config, error) {
 	config := load.DefaultConfig()
 	var err error
@@ -100,7 +100,7 @@
 	return config, nil
 }
 
-// loadTarget returns the fleet to load and a function that ends it.
+// loadTarget returns the fleet to load and a function that stops it.
 func loadTarget(ctx context.Context, cmd *cli.Command) (load.Target, func(), error) {
 	if urls := cmd.StringSlice("url"); len(urls) > 0 {
 		remote := &load.Remote{URLs: urls, Caller: cmd.String("key"), StandIns: map[string]string{}}
--- a/cmd/vaneyoke/main.go
+++ b/cmd/vaneyoke/main.go
@@ -1,4 +1,4 @@
-// Command vaneyoke is the command line of callers and operators; it also holds the demonstration and the stand-ins.
+// Command vaneyoke is the command-line tool for callers and operators. It also runs the demonstration and the stand-ins.
 package main
 
 import (
@@ -7,7 +7,7 @@
 	"os"
 	"os/signal"
 	"syscall"
-	_ "time/tzdata" // VMs may have no time zones of their own
+	_ "time/tzdata" // a VM may have no time zone database
 
 	"github.com/urfave/cli/v3"
 
--- a/cmd/vaneyoke/main_test.go
+++ b/cmd/vaneyoke/main_test.go
@@ -25,7 +25,7 @@
 	return out.String(), err
 }
 
-func TestDemoChecksItself(t *testing.T) {
+func TestDemoVerifiesAnswer(t *testing.T) {
 	out, err := run(t, "demo")
 	must.NoError(t, err, must.Sprint(out))
 	for _, part := range []string{"[engine killed]", "seam              at token", "promises checked"} {
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestOperatorsCommands goes through the commands of an operator against a fleet.
-func TestOperatorsCommands(t *testing.T) {
+// TestOperatorCommands runs the operator's commands against a fleet.
+func TestOperatorCommands(t *testing.T) {
 	f, err := fleet.Start(t.Context(), fleet.Config{
 		Nodes: 2, Engines: 2, Members: true, Engine: standin.DefaultEngineConfig(), Recovery: vaneyoke.RecoverFast,
 		Log: io.Discard, LogLevel: "error", Trace: "off",
--- a/cmd/vaneyoke/measure.go
+++ b/cmd/vaneyoke/measure.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// rewriteTables writes the page's tables from slopes that were measured before.
+// rewriteTables writes the page's tables from slopes measured by an earlier run.
 func rewriteTables(cmd *cli.Command) error {
 	var report measure.Report
 	if err := readJSON(cmd, "out", &report); err != nil {
@@ -53,7 +53,7 @@
 	return writePage(cmd, &report)
 }
 
-// readJSON reads the file that a flag names.
+// readJSON decodes the JSON file that a flag names.
 func readJSON(cmd *cli.Command, flag string, into any) error {
 	raw, err := os.ReadFile(cmd.String(flag))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writePage puts the tables into a page that has marks for them, and draws the picture.
+// writePage replaces the tables between their markers in the page, and draws the plot.
 func writePage(cmd *cli.Command, report *measure.Report) error {
 	var sweep measure.Sweep
 	if err := readJSON(cmd, "sweep", &sweep); err != nil {
--- a/cmd/vaneyoke/policy.go
+++ b/cmd/vaneyoke/policy.go
@@ -16,7 +16,7 @@
 	"github.com/vaneyoke/vaneyoke/shell/catalog"
 )
 
-// programBody is the body of a submission and of a check.
+// programBody is the request body of submit and check.
 type programBody struct {
 	Text string `json:"text"`
 }
@@ -52,7 +52,7 @@
 	if done, err := printJSON(cmd, out); done {
 		return err
 	}
-	return table(cmd, "NAME\tCHANGED\tBY", func(w io.Writer) {
+	return printTable(cmd, "NAME\tCHANGED\tBY", func(w io.Writer) {
 		for _, p := range out.Policies {
 			fmt.Fprintf(w, "%s\t%s\t%s\n", p.Name, p.At.Format(time.RFC3339), p.By)
 		}
@@ -72,7 +72,7 @@
 	return err
 }
 
-// readProgram reads the file that the command names, and checks what can be checked without the fleet.
+// readProgram reads and compiles the file that the command names, which finds all problems that do not depend on the fleet.
 func readProgram(cmd *cli.Command) (string, *policy.Policy, error) {
 	path := cmd.Args().First()
 	text, err := os.ReadFile(path)
@@ -145,7 +145,7 @@
 	}
 }
 
-// explainBody is the question which rule decides.
+// explainBody is the request body of explain: the attributes by which a rule is chosen.
 type explainBody struct {
 	Workspace   string     `json:"workspace"`
 	Kind        string     `json:"kind"`
--- a/cmd/vaneyoke/standin.go
+++ b/cmd/vaneyoke/standin.go
@@ -11,8 +11,8 @@
 	"github.com/vaneyoke/vaneyoke/tools/standin"
 )
 
-// stand is a running stand-in.
-type stand interface {
+// standIn is a running stand-in server.
+type standIn interface {
 	io.Closer
 	URL() string
 }
@@ -24,18 +24,18 @@
 		Usage: "run one stand-in until it is interrupted",
 		Flags: []cli.Flag{listen},
 		Commands: []*cli.Command{
-			standinKind("engine", "a model engine", func(a string) (stand, error) {
+			standinKind("engine", "a model engine", func(a string) (standIn, error) {
 				return standin.NewEngine(a, standin.DefaultEngineConfig())
 			}),
-			standinKind("service", "a plain service", func(a string) (stand, error) { return standin.NewService(a) }),
-			standinKind("platform", "the platform's table, object store and list of VMs", func(a string) (stand, error) {
+			standinKind("service", "a plain service", func(a string) (standIn, error) { return standin.NewService(a) }),
+			standinKind("platform", "the platform's table, object store and list of VMs", func(a string) (standIn, error) {
 				return standin.NewPlatform(a)
 			}),
 		},
 	}
 }
 
-func standinKind(name, usage string, start func(string) (stand, error)) *cli.Command {
+func standinKind(name, usage string, start func(string) (standIn, error)) *cli.Command {
 	return &cli.Command{Name: name, Usage: usage, Action: func(ctx context.Context, cmd *cli.Command) error {
 		s, err := start(cmd.String("listen"))
 		if err != nil {
--- a/cmd/vaneyoke/upstream.go
+++ b/cmd/vaneyoke/upstream.go
@@ -64,7 +64,7 @@
 	if done, err := printJSON(cmd, out); done {
 		return err
 	}
-	return table(cmd, "ID\tKIND\tDATA CENTRE\tSTATE\tOFFERS\tIN FLIGHT\tBREAKER\tDRAINED", func(w io.Writer) {
+	return printTable(cmd, "ID\tKIND\tDATA CENTRE\tSTATE\tOFFERS\tIN FLIGHT\tBREAKER\tDRAINED", func(w io.Writer) {
 		for _, u := range out.Upstreams {
 			offers := fmt.Sprint(u.Models)
 			if u.Kind == vaneyoke.KindService {
--- a/cmd/vaneyoke/workspace.go
+++ b/cmd/vaneyoke/workspace.go
@@ -52,7 +52,7 @@
 	if done, err := printJSON(cmd, out); done {
 		return err
 	}
-	return table(cmd, "NAME\tRECOVERY\tROLE\tHASH", func(w io.Writer) {
+	return printTable(cmd, "NAME\tRECOVERY\tROLE\tHASH", func(w io.Writer) {
 		for _, ws := range out.Workspaces {
 			fmt.Fprintf(w, "%s\t%s\t\t\n", ws.ID, ws.Recovery)
 			for _, k := range ws.Keys {
@@ -93,7 +93,7 @@
 	return change(ctx, cmd, adminCall{method: http.MethodDelete, path: workspacePath(cmd.Args().First()) + "/keys/" + cmd.Args().Get(1)})
 }
 
-// bootstrapCommand writes the first administrator's key straight into the platform's table.
+// bootstrapCommand returns the command that writes the first administrator's key directly into the platform's table.
 func bootstrapCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "bootstrap",
