--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -68,7 +68,7 @@
 			s.RecordSignal(now, signal)
 			for _, id := range []vaneyoke.UpstreamID{"u1", "u2"} { // even failing ones are preferred to it
 				s.RecordGossip(now, id, gossip.KindUnreachable)
-				must.True(t, s.TakesWork(now.Add(time.Second), id))
+				must.True(t, s.AcceptsWork(now.Add(time.Second), id))
 			}
 			prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", PromptBytes: 100, Replicate: true}
 			prefers, repeat, atMostOnce := prompt, prompt, prompt
@@ -89,7 +89,7 @@
 			replica, ok := s.PickReplica(later, rng(), prompt, serviceUpstream("u1"))
 			must.True(t, ok)
 			must.EqOp(t, "u2", replica.ID)
-			must.False(t, s.TakesWork(later, "u0"))
+			must.False(t, s.AcceptsWork(later, "u0"))
 		})
 	}
 }
@@ -112,13 +112,13 @@
 			s := limitedState()
 			s.SetUpstreams([]vaneyoke.Upstream{before})
 			s.RecordSignal(now, pushback.Signal{Upstream: before, Pushback: 3 * time.Second, Leaving: true})
-			must.False(t, s.TakesWork(now, "u0"))
+			must.False(t, s.AcceptsWork(now, "u0"))
 			restart(s)
-			must.True(t, s.TakesWork(now, "u0"))
+			must.True(t, s.AcceptsWork(now, "u0"))
 			s.RecordSignal(now, pushback.Signal{Upstream: before, Pushback: 3 * time.Second}) // late response of the earlier incarnation
-			must.True(t, s.TakesWork(now, "u0"))
+			must.True(t, s.AcceptsWork(now, "u0"))
 			s.RecordSignal(now, pushback.Signal{Upstream: restarted, Pushback: 3 * time.Second})
-			must.False(t, s.TakesWork(now, "u0"))
+			must.False(t, s.AcceptsWork(now, "u0"))
 		})
 	}
 }
@@ -130,11 +130,11 @@
 	s := limitedState("u0", "u1")
 	s.RecordSignal(now, pushbackSignal("u0", time.Second))
 	now = now.Add(time.Second)
-	must.True(t, s.TakesWork(now, "u0"))
+	must.True(t, s.AcceptsWork(now, "u0"))
 	s.Sent(now, "u0")
-	must.False(t, s.TakesWork(now, "u0"))
+	must.False(t, s.AcceptsWork(now, "u0"))
 	s.FirstToken(now, "u0", time.Millisecond, 0)
-	must.True(t, s.TakesWork(now, "u0"))
+	must.True(t, s.AcceptsWork(now, "u0"))
 }
 
 // TestCallersComeBackWhenAPushbackEnds has all upstreams push back or shut down: callers get retry-after times shortly after the first of them accepts
--- a/decide/placement/restart_test.go
+++ b/decide/placement/restart_test.go
@@ -43,9 +43,9 @@
 				s := placement.New("a", retry.DefaultBreakerConfig())
 				s.SetUpstreams([]vaneyoke.Upstream{before})
 				fail(s)
-				must.False(t, s.TakesWork(now, "u"))
+				must.False(t, s.AcceptsWork(now, "u"))
 				restart(s)
-				must.True(t, s.TakesWork(now, "u"))
+				must.True(t, s.AcceptsWork(now, "u"))
 				s.SetUpstreams([]vaneyoke.Upstream{before}) // an old list does not restore the earlier incarnation
 				must.EqOp(t, 6, s.Loads(now)[0].Upstream.Incarnation)
 			})
@@ -73,6 +73,6 @@
 	s := placement.New("a", retry.DefaultBreakerConfig())
 	s.SetUpstreams([]vaneyoke.Upstream{u})
 	s.RecordGossip(now, "u", gossip.KindReplaced)
-	must.False(t, s.TakesWork(now, "u"))
-	must.True(t, s.TakesWork(now.Add(6*time.Second), "u"))
+	must.False(t, s.AcceptsWork(now, "u"))
+	must.True(t, s.AcceptsWork(now.Add(6*time.Second), "u"))
 }
--- a/decide/placement/state.go
+++ b/decide/placement/state.go
@@ -236,8 +236,8 @@
 // so that normally a request that can be retried is the trial.
 const atMostOnceTrialDelay = 2 * time.Second
 
-// TakesWork reports whether an upstream may get new work.
-func (s *State) TakesWork(now time.Time, id vaneyoke.UpstreamID) bool {
+// AcceptsWork reports whether an upstream may get new work.
+func (s *State) AcceptsWork(now time.Time, id vaneyoke.UpstreamID) bool {
 	e, ok := s.entries[id]
 	return ok && e.takesWork(now)
 }
--- a/decide/quarantine/event.go
+++ b/decide/quarantine/event.go
@@ -10,9 +10,9 @@
 type Crash struct {
 	Upstream    vaneyoke.UpstreamID  `json:"upstream"`
 	Incarnation vaneyoke.Incarnation `json:"incarnation,omitempty"` // 0 if the upstream does not report it
-	// EarlierCrashes counts the earlier crashes of the upstream under the same incarnation. An upstream that runs requests again has restarted, even
+	// PriorCrashes counts the earlier crashes of the upstream under the same incarnation. An upstream that runs requests again has restarted, even
 	// if its list entry does not show a new incarnation yet.
-	EarlierCrashes int `json:"again,omitempty"`
+	PriorCrashes int `json:"again,omitempty"`
 }
 
 // Row is the store's row of a content.
--- a/decide/quarantine/simulation_network_test.go
+++ b/decide/quarantine/simulation_network_test.go
@@ -72,7 +72,7 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case quarantine.BroadcastCrash:
-			sim.gossip(i, gossip.Observed{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.EarlierCrashes}})
+			sim.gossip(i, gossip.Observed{Upstream: e.Crash.Upstream, Kind: gossip.KindCrash, Run: gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.PriorCrashes}})
 		case quarantine.BroadcastCompletion:
 			sim.gossip(i, gossip.Observed{Kind: gossip.KindSurvived, Run: gossip.Run{Content: e.Content}})
 		case quarantine.WriteRow:
@@ -116,7 +116,7 @@
 			}
 			sim.handle(i, quarantine.CrashReported{
 				Content: e.Sighting.Content, Origin: e.Sighting.Origin, FromNeighbour: e.Sighting.Hops == 1,
-				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, EarlierCrashes: e.Sighting.PriorCrashes},
+				Crash: quarantine.Crash{Upstream: e.Sighting.Upstream, Incarnation: e.Sighting.Incarnation, PriorCrashes: e.Sighting.PriorCrashes},
 			})
 		case gossip.SendSightings:
 			n.sentDatagrams++
--- a/decide/quarantine/state.go
+++ b/decide/quarantine/state.go
@@ -141,7 +141,7 @@
 			s.emit(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSameCrash})
 			return
 		}
-		crash.EarlierCrashes++
+		crash.PriorCrashes++
 	}
 	if r.isSimultaneous(now) && !ev.SentAt.After(r.latestAt) {
 		s.emit(Dismiss{Content: ev.Content, Crash: crash, Reason: ReasonSimultaneous})
--- a/decide/quarantine/state_test.go
+++ b/decide/quarantine/state_test.go
@@ -205,7 +205,7 @@
 		_, blocked := s.Blocked(now, "c")
 		must.False(t, blocked)
 		broadcast := effectsOf[quarantine.BroadcastCrash](s.Handle(now.Add(time.Duration(i)*2*time.Second), quarantine.CrashObserved{Content: "c", Upstream: "u"}))
-		must.Eq(t, []quarantine.BroadcastCrash{{Content: "c", Crash: quarantine.Crash{Upstream: "u", EarlierCrashes: i}}}, broadcast)
+		must.Eq(t, []quarantine.BroadcastCrash{{Content: "c", Crash: quarantine.Crash{Upstream: "u", PriorCrashes: i}}}, broadcast)
 	}
 	_, blocked := s.Blocked(now, "c")
 	must.True(t, blocked)
--- a/process/node/gateway_placer.go
+++ b/process/node/gateway_placer.go
@@ -58,7 +58,7 @@
 
 // LimitReached records that a placed attempt got no permit.
 func (b *gatewayPlacer) LimitReached(need placement.Need, isRetry bool, id vaneyoke.UpstreamID, permit relay.Permit) {
-	b.Balancer.LimitReached(need, isRetry, id, permit.Next, permit.Turn)
+	b.Balancer.LimitReached(need, isRetry, id, permit.AvailableIn, permit.RetryAfter)
 }
 
 // RecordAnswer records an upstream's answer for the rollout of its service.
@@ -74,7 +74,7 @@
 // FirstToken records an attempt's time to the first token.
 func (b *gatewayPlacer) FirstToken(id vaneyoke.UpstreamID, took time.Duration, promptBytes int) {
 	b.Balancer.FirstToken(id, took, promptBytes)
-	b.gossip.Seen(id, gossip.KindHealthy)
+	b.gossip.Observe(id, gossip.KindHealthy)
 }
 
 // Ended records the outcome of an attempt, and gossips it if it says something about the upstream's reachability.
@@ -82,13 +82,13 @@
 	b.Balancer.Ended(id, outcome, begun)
 	switch outcome {
 	case placement.OutcomeDone:
-		b.gossip.Seen(id, gossip.KindHealthy)
+		b.gossip.Observe(id, gossip.KindHealthy)
 	case placement.OutcomeLost:
-		b.gossip.Seen(id, gossip.KindLost)
+		b.gossip.Observe(id, gossip.KindLost)
 	case placement.OutcomeUnreachable:
-		b.gossip.Seen(id, gossip.KindUnreachable)
+		b.gossip.Observe(id, gossip.KindUnreachable)
 	case placement.OutcomeGone:
-		b.gossip.Seen(id, gossip.KindReplaced)
+		b.gossip.Observe(id, gossip.KindReplaced)
 	default: // says nothing about whether the upstream is reachable
 	}
 }
--- a/process/node/node.go
+++ b/process/node/node.go
@@ -160,7 +160,7 @@
 func (n *Node) Revision() vaneyoke.Revision { return n.follower.Current().Revision }
 
 // AcceptsWork reports whether the node would send new requests to an upstream.
-func (n *Node) AcceptsWork(id vaneyoke.UpstreamID) bool { return n.policies.balancer.TakesWork(id) }
+func (n *Node) AcceptsWork(id vaneyoke.UpstreamID) bool { return n.policies.balancer.AcceptsWork(id) }
 
 // Refresh reads the configuration now, without waiting for the next poll.
 func (n *Node) Refresh(ctx context.Context) { n.follower.Poll(ctx) }
--- a/shell/balancer/balancer.go
+++ b/shell/balancer/balancer.go
@@ -111,8 +111,8 @@
 	b.budget(need.Service).GiveBack(time.Now())
 }
 
-// Replaced undoes a placement on an upstream whose address now belongs to another upstream. Nothing was sent to it.
-func (b *Balancer) Replaced(need placement.Need, isRetry bool, id vaneyoke.UpstreamID) {
+// RecordReplaced undoes a placement on an upstream whose address now belongs to another upstream. Nothing was sent to it.
+func (b *Balancer) RecordReplaced(need placement.Need, isRetry bool, id vaneyoke.UpstreamID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.undoPlacement(time.Now(), need, isRetry, id, placement.OutcomeGone)
@@ -125,9 +125,9 @@
 	b.state.SetLimit(id, limit)
 }
 
-// Signalled records a pushback or shutdown signal from an upstream's answer. It returns the resulting hold and the previous one; ok is false
+// RecordSignal records a pushback or shutdown signal from an upstream's answer. It returns the resulting hold and the previous one; ok is false
 // if the signal has no effect.
-func (b *Balancer) Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
+func (b *Balancer) RecordSignal(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	current, before := b.state.RecordSignal(time.Now(), signal)
@@ -273,11 +273,11 @@
 	b.state.FirstToken(time.Now(), id, took, promptBytes)
 }
 
-// TakesWork reports whether an upstream may get new attempts.
-func (b *Balancer) TakesWork(id vaneyoke.UpstreamID) bool {
+// AcceptsWork reports whether an upstream may get new attempts.
+func (b *Balancer) AcceptsWork(id vaneyoke.UpstreamID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.state.TakesWork(time.Now(), id)
+	return b.state.AcceptsWork(time.Now(), id)
 }
 
 // SetSplit sets how the requests of a service are divided among the versions of its upstreams.
@@ -294,8 +294,8 @@
 	return b.state.DrawCanary(b.rng, service)
 }
 
-// Running returns the number of attempts in flight by service and version.
-func (b *Balancer) Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int {
+// InFlightByVersion returns the number of attempts in flight by service and version.
+func (b *Balancer) InFlightByVersion() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.InFlightByVersion()
--- a/shell/duties/fuzz_test.go
+++ b/shell/duties/fuzz_test.go
@@ -39,10 +39,10 @@
 func (unavailable) Order(context.Context, lease.FencingToken, capacity.Order) (duties.Reply, error) {
 	return duties.ReplyNone, errUnavailable
 }
-func (unavailable) Above() (feed.Member, bool)  { return feed.Member{}, false }
-func (unavailable) Reader() (feed.Member, bool) { return feed.Member{}, false }
-func (unavailable) Confirms() bool              { return false }
-func (unavailable) Members() int                { return 1 }
+func (unavailable) Parent() (feed.Member, bool)      { return feed.Member{}, false }
+func (unavailable) StoreReader() (feed.Member, bool) { return feed.Member{}, false }
+func (unavailable) ConfirmedByStore() bool           { return false }
+func (unavailable) Members() int                     { return 1 }
 
 // FuzzCounts sends arbitrary bodies to a node as if a child node had sent them.
 func FuzzCounts(f *testing.F) {
--- a/shell/duties/node.go
+++ b/shell/duties/node.go
@@ -68,12 +68,12 @@
 
 // Tree reports the node's place in the distribution tree.
 type Tree interface {
-	// Above returns the parent node, which this one follows; ok is false if there is none.
-	Above() (parent feed.Member, ok bool)
-	// Confirms reports whether the node reads the store, and the store has recently confirmed the tables to it.
-	Confirms() bool
-	// Reader returns another such node; ok is false if none is known.
-	Reader() (reader feed.Member, ok bool)
+	// Parent returns the parent node, which this one follows; ok is false if there is none.
+	Parent() (parent feed.Member, ok bool)
+	// ConfirmedByStore reports whether the node reads the store, and the store has recently confirmed the tables to it.
+	ConfirmedByStore() bool
+	// StoreReader returns another such node; ok is false if none is known.
+	StoreReader() (reader feed.Member, ok bool)
 	// Members returns the number of nodes, including this one.
 	Members() int
 }
@@ -228,12 +228,12 @@
 }
 
 // isRoot reports whether this node writes the counts of other nodes to the store, which it does while the store answers it.
-func (n *Node) isRoot() bool { return n.tree.Confirms() }
+func (n *Node) isRoot() bool { return n.tree.ConfirmedByStore() }
 
 // forwardTarget returns the node to which this one forwards its counts: its parent or, if it has none and the store does not answer it, a node that the store answers.
 func (n *Node) forwardTarget() (feed.Member, bool) {
-	if parent, ok := n.tree.Above(); ok {
+	if parent, ok := n.tree.Parent(); ok {
 		return parent, true
 	}
-	return n.tree.Reader()
+	return n.tree.StoreReader()
 }
--- a/shell/mesh/gossip.go
+++ b/shell/mesh/gossip.go
@@ -39,13 +39,13 @@
 	return g
 }
 
-// Seen sends the other nodes what this node observed of an upstream.
-func (g *Gossip) Seen(upstream vaneyoke.UpstreamID, kind gossip.Kind) {
+// Observe sends the other nodes what this node observed of an upstream.
+func (g *Gossip) Observe(upstream vaneyoke.UpstreamID, kind gossip.Kind) {
 	g.handle(gossip.Observed{Upstream: upstream, Kind: kind})
 }
 
-// SeenRun sends the other nodes what effect a request had on an upstream.
-func (g *Gossip) SeenRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run) {
+// ObserveRun sends the other nodes what effect a request had on an upstream.
+func (g *Gossip) ObserveRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run) {
 	g.handle(gossip.Observed{Upstream: upstream, Kind: kind, Run: run})
 }
 
--- a/shell/mesh/node.go
+++ b/shell/mesh/node.go
@@ -95,8 +95,8 @@
 // Registered returns the registered members, nil until they are known. The caller must not modify them.
 func (n *Node) Registered() []feed.Member { return n.registeredMembers() }
 
-// Above returns the source of this node, the one that it follows; ok is false if it follows none.
-func (n *Node) Above() (above feed.Member, ok bool) {
+// Parent returns the source of this node, the one that it follows; ok is false if it follows none.
+func (n *Node) Parent() (parent feed.Member, ok bool) {
 	source := n.metrics.status.Load().Source
 	return lo.Find(n.registeredMembers(), func(m feed.Member) bool { return source != "" && m.VM == source })
 }
@@ -104,17 +104,17 @@
 // Stale reports whether the last confirmation of the tables by the store is too old.
 func (n *Node) Stale() bool { return !n.metrics.status.Load().Fresh }
 
-// Reads reports whether the node reads all tables from the store.
-func (n *Node) Reads() bool { return n.metrics.status.Load().Reading == feed.ReadAll.String() }
+// ReadsStore reports whether the node reads all tables from the store.
+func (n *Node) ReadsStore() bool { return n.metrics.status.Load().Reading == feed.ReadAll.String() }
 
-// Confirms reports whether the node reads all tables from the store itself and the last confirmation is not stale.
-func (n *Node) Confirms() bool {
+// ConfirmedByStore reports whether the node reads all tables from the store itself and the last confirmation is not stale.
+func (n *Node) ConfirmedByStore() bool {
 	status := n.metrics.status.Load()
-	return n.Reads() && status.Fresh && status.Reader == n.self.VM
+	return n.ReadsStore() && status.Fresh && status.Reader == n.self.VM
 }
 
-// Reader returns another node to which the store has confirmed the tables; ok is false if none is known.
-func (n *Node) Reader() (reader feed.Member, ok bool) {
+// StoreReader returns another node to which the store has confirmed the tables; ok is false if none is known.
+func (n *Node) StoreReader() (reader feed.Member, ok bool) {
 	vm := n.metrics.status.Load().Reader
 	return lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == vm && vm != n.self.VM })
 }
--- a/shell/mesh/prune.go
+++ b/shell/mesh/prune.go
@@ -73,10 +73,10 @@
 	return true
 }
 
-// TakeOffIfGone removes a member that other nodes wait for if it accepts no connections, or if its row was written by a later build that ran
-// on the VM before; a member that still runs registers again. A node with stale tables removes nobody, because it may itself be
-// partitioned.
-func (n *Node) TakeOffIfGone(vm vaneyoke.VMID) {
+// RemoveIfUnreachable removes a member that other nodes wait for if it accepts no connections, or if its row was written by a later
+// build that ran on the VM before; a member that still runs registers again. A node with stale tables removes nobody, because it may
+// itself be partitioned.
+func (n *Node) RemoveIfUnreachable(vm vaneyoke.VMID) {
 	m, ok := lo.Find(n.registeredMembers(), func(m feed.Member) bool { return m.VM == vm })
 	if !ok || vm == n.self.VM || n.Stale() {
 		return
--- a/shell/mesh/suspect_test.go
+++ b/shell/mesh/suspect_test.go
@@ -40,7 +40,7 @@
 		})
 		n.metrics.setStatus(NodeStatus{Fresh: fresh})
 		for _, vm := range []vaneyoke.VMID{"there", "gone", "self", "unknown", "earlier", "always"} {
-			n.TakeOffIfGone(vm)
+			n.RemoveIfUnreachable(vm)
 		}
 		want := map[string]watch.Version{}
 		if fresh {
--- a/shell/pushbacks/node.go
+++ b/shell/pushbacks/node.go
@@ -21,8 +21,8 @@
 
 // Holds decides which upstreams get no new attempts.
 type Holds interface {
-	// Signalled applies a signal of an upstream and returns the resulting hold and its previous value; ok is false if the signal has no effect.
-	Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool)
+	// RecordSignal applies a signal of an upstream and returns the resulting hold and its previous value; ok is false if the signal has no effect.
+	RecordSignal(signal pushback.Signal) (hold, before pushback.Hold, ok bool)
 	// IsHeld reports whether an upstream gets no new attempts because of a pushback or its shutdown.
 	IsHeld(id vaneyoke.UpstreamID) bool
 }
@@ -79,7 +79,7 @@
 	if signals.Pushback == 0 && !signals.Leaving {
 		return
 	}
-	hold, before, ok := n.holds.Signalled(pushback.Signal{Upstream: upstream, Pushback: signals.Pushback, Leaving: signals.Leaving})
+	hold, before, ok := n.holds.RecordSignal(pushback.Signal{Upstream: upstream, Pushback: signals.Pushback, Leaving: signals.Leaving})
 	if !ok {
 		return
 	}
--- a/shell/pushbacks/node_test.go
+++ b/shell/pushbacks/node_test.go
@@ -61,7 +61,7 @@
 	latest  vaneyoke.Upstream // sender of the latest signal
 }
 
-func (b *fakeHolds) Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
+func (b *fakeHolds) RecordSignal(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
 	b.latest = signal.Upstream
 	h, before := b.tracker.Record(b.now, signal)
 	return *h, before, true
--- a/shell/quarantines/node.go
+++ b/shell/quarantines/node.go
@@ -30,14 +30,14 @@
 
 // Reader reports whether this node reads the store.
 type Reader interface {
-	// Reads reports whether this node reads the store for other nodes.
-	Reads() bool
+	// ReadsStore reports whether this node reads the store for other nodes.
+	ReadsStore() bool
 }
 
 // Broadcaster sends observations to the other nodes.
 type Broadcaster interface {
-	// SeenRun broadcasts what a request did to an upstream.
-	SeenRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run)
+	// ObserveRun broadcasts what a request did to an upstream.
+	ObserveRun(upstream vaneyoke.UpstreamID, kind gossip.Kind, run gossip.Run)
 }
 
 // Node carries out the quarantine on this node.
@@ -72,7 +72,7 @@
 		store: store, reader: reader, broadcaster: broadcaster, onBlock: func(vaneyoke.ContentID) {}, metrics: metrics, log: log,
 		calls: background.New(maxStoreCalls, storeTimeout), state: quarantine.New(config),
 	}
-	n.timer = time.AfterFunc(time.Hour, func() { n.handle(quarantine.Tick{ReadsStore: n.reader.Reads()}) })
+	n.timer = time.AfterFunc(time.Hour, func() { n.handle(quarantine.Tick{ReadsStore: n.reader.ReadsStore()}) })
 	n.timer.Stop()
 	return n
 }
@@ -87,8 +87,8 @@
 
 func (standalone) Write(context.Context, quarantine.Row) error                         { return nil }
 func (standalone) Remove(context.Context, vaneyoke.ContentID, vaneyoke.Revision) error { return nil }
-func (standalone) Reads() bool                                                         { return false }
-func (standalone) SeenRun(vaneyoke.UpstreamID, gossip.Kind, gossip.Run)                {}
+func (standalone) ReadsStore() bool                                                    { return false }
+func (standalone) ObserveRun(vaneyoke.UpstreamID, gossip.Kind, gossip.Run)             {}
 
 // OnBlock sets the function that cancels the requests of a content when it is blocked. It is called once, before the node serves requests.
 func (n *Node) OnBlock(onBlock func(vaneyoke.ContentID)) { n.onBlock = onBlock }
@@ -129,7 +129,7 @@
 	n.metrics.counts.Add("crashes_heard_total", 1)
 	n.handle(quarantine.CrashReported{
 		Content: s.Content, Origin: s.Origin, FromNeighbour: s.Hops == 1,
-		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, EarlierCrashes: s.PriorCrashes},
+		Crash: quarantine.Crash{Upstream: s.Upstream, Incarnation: s.Incarnation, PriorCrashes: s.PriorCrashes},
 	})
 }
 
@@ -167,16 +167,16 @@
 		n.log.WithField("content", e.Content).Info("content_admitted")
 	case quarantine.BroadcastCrash:
 		n.log.WithFields(logrus.Fields{
-			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.EarlierCrashes,
+			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.PriorCrashes,
 		}).Info("crash_told")
-		n.broadcaster.SeenRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.EarlierCrashes})
+		n.broadcaster.ObserveRun(e.Crash.Upstream, gossip.KindCrash, gossip.Run{Content: e.Content, Incarnation: e.Crash.Incarnation, PriorCrashes: e.Crash.PriorCrashes})
 	case quarantine.Dismiss:
 		n.metrics.counts.Add("crashes_dismissed_total", 1)
 		n.log.WithFields(logrus.Fields{
-			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.EarlierCrashes, "reason": e.Reason,
+			"content": e.Content, "upstream": e.Crash.Upstream, "incarnation": uint64(e.Crash.Incarnation), "again": e.Crash.PriorCrashes, "reason": e.Reason,
 		}).Info("crash_dismissed")
 	case quarantine.BroadcastCompletion:
-		n.broadcaster.SeenRun("", gossip.KindSurvived, gossip.Run{Content: e.Content})
+		n.broadcaster.ObserveRun("", gossip.KindSurvived, gossip.Run{Content: e.Content})
 	case quarantine.WriteRow:
 		n.callStore("crashes_written", e.Row.Content, func(ctx context.Context) error { return n.store.Write(ctx, e.Row) })
 	case quarantine.RemoveRow:
--- a/shell/ratelimits/fuzz_test.go
+++ b/shell/ratelimits/fuzz_test.go
@@ -18,7 +18,7 @@
 type noop struct{}
 
 func (noop) SendLimits(vaneyoke.VMID, ratelimits.Message) {}
-func (noop) TakeOffIfGone(vaneyoke.VMID)                  {}
+func (noop) RemoveIfUnreachable(vaneyoke.VMID)            {}
 
 // Write does nothing.
 func (noop) Write(context.Context, ratelimit.Row) error { return nil }
@@ -42,7 +42,7 @@
 		}
 		for _, id := range []vaneyoke.UpstreamID{"u1", "u2"} {
 			p := n.AcquirePermit(t.Context(), id)
-			if p.Next < 0 || p.Turn < 0 || p.Turn > 10*time.Second {
+			if p.AvailableIn < 0 || p.RetryAfter < 0 || p.RetryAfter > 10*time.Second {
 				t.Fatal(p)
 			}
 		}
--- a/shell/ratelimits/node.go
+++ b/shell/ratelimits/node.go
@@ -19,8 +19,8 @@
 type Messenger interface {
 	// SendLimits sends a message to a node whose build supports it.
 	SendLimits(to vaneyoke.VMID, m Message)
-	// TakeOffIfGone removes a node from the members, unless it accepts connections.
-	TakeOffIfGone(vm vaneyoke.VMID)
+	// RemoveIfUnreachable removes a node from the members, unless it accepts connections.
+	RemoveIfUnreachable(vm vaneyoke.VMID)
 }
 
 // Store stores which upstreams declare limits.
@@ -47,9 +47,9 @@
 
 // Permit is the outcome of acquiring a permit.
 type Permit struct {
-	Granted bool
-	Next    time.Duration // if not granted: time until there may be another
-	Turn    time.Duration // if not granted: time after which the caller should retry
+	Granted     bool
+	AvailableIn time.Duration // if not granted: time until there may be another
+	RetryAfter  time.Duration // if not granted: time after which the caller should retry
 }
 
 // Node enforces, together with the other nodes, the rate limits that upstreams declare.
@@ -186,7 +186,7 @@
 func (n *Node) deliverDecisionLocked(d ratelimit.PermitDecided) {
 	if waiting := n.waiting[d.ID]; waiting != nil {
 		delete(n.waiting, d.ID)
-		waiting <- Permit{Granted: d.Granted, Next: d.AvailableIn, Turn: d.RetryAfter}
+		waiting <- Permit{Granted: d.Granted, AvailableIn: d.AvailableIn, RetryAfter: d.RetryAfter}
 	}
 }
 
@@ -202,7 +202,7 @@
 		n.metrics.counts.Add("answers_total", 1)
 		n.messenger.SendLimits(e.To, Message{From: n.self, Response: &e.Response})
 	case ratelimit.CheckLiveness:
-		go n.messenger.TakeOffIfGone(e.VM)
+		go n.messenger.RemoveIfUnreachable(e.VM)
 	case ratelimit.WriteRow:
 		n.updateStore(e.Row, true, n.store.Write)
 	case ratelimit.RemoveRow:
--- a/shell/relay/forwarded_test.go
+++ b/shell/relay/forwarded_test.go
@@ -251,7 +251,7 @@
 }
 
 func (p *stalePlacer) MayBeStale() bool { return p.mayBeStale }
-func (p *stalePlacer) Replaced(_ placement.Need, _ bool, id vaneyoke.UpstreamID) {
+func (p *stalePlacer) RecordReplaced(_ placement.Need, _ bool, id vaneyoke.UpstreamID) {
 	p.replaced = append(p.replaced, id)
 }
 
--- a/shell/relay/limited.go
+++ b/shell/relay/limited.go
@@ -20,9 +20,9 @@
 
 // Permit is the answer to a request for permission to send to an upstream.
 type Permit struct {
-	Granted bool
-	Next    time.Duration // if not granted: time until there may be another permit
-	Turn    time.Duration // if not granted: time after which the caller should retry
+	Granted     bool
+	AvailableIn time.Duration // if not granted: time until there may be another permit
+	RetryAfter  time.Duration // if not granted: time after which the caller should retry
 }
 
 // Limiter is a Placer that knows which upstreams limit the requests per second of all nodes together.
@@ -64,10 +64,10 @@
 		}
 		s.relay.limiter.LimitReached(need, retry, upstream.ID, permit)
 		s.relay.log.WithFields(logrus.Fields{
-			"request": s.req.ID, "upstream": upstream.ID, "ms": permit.Next.Milliseconds(), "retry_after_ms": permit.Turn.Milliseconds(),
+			"request": s.req.ID, "upstream": upstream.ID, "ms": permit.AvailableIn.Milliseconds(), "retry_after_ms": permit.RetryAfter.Milliseconds(),
 		}).Debug("permit_withheld")
 		if denied == maxDenied {
-			return vaneyoke.Upstream{}, 0, vaneyoke.ErrRetryAfter(vaneyoke.CodeWithheld, permit.Turn, "the upstreams that were asked get as many requests as they name already")
+			return vaneyoke.Upstream{}, 0, vaneyoke.ErrRetryAfter(vaneyoke.CodeWithheld, permit.RetryAfter, "the upstreams that were asked get as many requests as they name already")
 		}
 		need.Unlimited = need.Unlimited || denied+1 == unlimitedAfter
 	}
--- a/shell/relay/limited_test.go
+++ b/shell/relay/limited_test.go
@@ -30,7 +30,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.permits[id] == 0 {
-		return relay.Permit{Next: 300 * time.Millisecond, Turn: 700 * time.Millisecond}
+		return relay.Permit{AvailableIn: 300 * time.Millisecond, RetryAfter: 700 * time.Millisecond}
 	}
 	r.permits[id]--
 	r.granted.Add(1)
--- a/shell/relay/place.go
+++ b/shell/relay/place.go
@@ -103,7 +103,7 @@
 			return upstream, expectedTTFT, err
 		}
 		s.relay.log.WithFields(logrus.Fields{"request": s.req.ID, "upstream": upstream.ID}).Info("upstream_replaced")
-		s.relay.staleness.Replaced(need, retry, upstream.ID)
+		s.relay.staleness.RecordReplaced(need, retry, upstream.ID)
 	}
 }
 
--- a/shell/relay/pushback.go
+++ b/shell/relay/pushback.go
@@ -11,8 +11,8 @@
 
 // PushbackTracker is a Placer that knows which upstreams have asked for no requests for a while.
 type PushbackTracker interface {
-	// Signalled applies a signal of an upstream; ok is false if it has no effect.
-	Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool)
+	// RecordSignal applies a signal of an upstream; ok is false if it has no effect.
+	RecordSignal(signal pushback.Signal) (hold, before pushback.Hold, ok bool)
 	// IsPushedBack reports whether an upstream has asked for no requests, queries included.
 	IsPushedBack(id vaneyoke.UpstreamID) bool
 }
@@ -32,6 +32,6 @@
 // itself.
 func (r *Relay) recordPushback(upstream vaneyoke.Upstream, err error) {
 	if notSent, ok := errors.AsType[*engine.NotSentError](err); ok && notSent.Pushback > 0 && r.pushbacks != nil {
-		r.pushbacks.Signalled(pushback.Signal{Upstream: upstream, Pushback: notSent.Pushback})
+		r.pushbacks.RecordSignal(pushback.Signal{Upstream: upstream, Pushback: notSent.Pushback})
 	}
 }
--- a/shell/relay/pushback_test.go
+++ b/shell/relay/pushback_test.go
@@ -31,7 +31,7 @@
 	from time.Time
 }
 
-func (r *pushbackPlacer) Signalled(pushback.Signal) (hold, before pushback.Hold, ok bool) {
+func (r *pushbackPlacer) RecordSignal(pushback.Signal) (hold, before pushback.Hold, ok bool) {
 	return hold, before, false
 }
 
@@ -90,7 +90,7 @@
 	return vaneyoke.Upstream{ID: "a", URL: p.url}, 0, nil
 }
 
-func (p *signalRecorder) Signalled(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
+func (p *signalRecorder) RecordSignal(signal pushback.Signal) (hold, before pushback.Hold, ok bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.signals = append(p.signals, signal)
--- a/shell/relay/relay.go
+++ b/shell/relay/relay.go
@@ -67,8 +67,8 @@
 type StalenessChecker interface {
 	// MayBeStale reports whether upstreams may have been replaced without the list showing it.
 	MayBeStale() bool
-	// Replaced records that another upstream has the address of one that was placed.
-	Replaced(need placement.Need, retry bool, id vaneyoke.UpstreamID)
+	// RecordReplaced records that another upstream has the address of one that was placed.
+	RecordReplaced(need placement.Need, retry bool, id vaneyoke.UpstreamID)
 }
 
 // Meter measures the load of requests on upstreams.
--- a/shell/rollouts/exchange.go
+++ b/shell/rollouts/exchange.go
@@ -51,7 +51,7 @@
 
 // report sends the counts to the parent node, and handles the stopped rollouts that it returns.
 func (n *Node) report(ctx context.Context) {
-	parent, ok := n.tree.Above()
+	parent, ok := n.tree.Parent()
 	if !ok {
 		return
 	}
--- a/shell/rollouts/fuzz_test.go
+++ b/shell/rollouts/fuzz_test.go
@@ -19,10 +19,12 @@
 
 type noPeers struct{}
 
-func (noPeers) Above() (feed.Member, bool)                                       { return feed.Member{}, false }
-func (noPeers) Reads() bool                                                      { return false }
-func (noPeers) SetSplit(vaneyoke.ServiceID, rollout.Split)                       {}
-func (noPeers) Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int { return nil }
+func (noPeers) Parent() (feed.Member, bool)                { return feed.Member{}, false }
+func (noPeers) ReadsStore() bool                           { return false }
+func (noPeers) SetSplit(vaneyoke.ServiceID, rollout.Split) {}
+func (noPeers) InFlightByVersion() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int {
+	return nil
+}
 
 // FuzzReports sends arbitrary bodies to a node as if a child node had sent them, while a rollout is in progress.
 func FuzzReports(f *testing.F) {
--- a/shell/rollouts/node.go
+++ b/shell/rollouts/node.go
@@ -34,18 +34,18 @@
 
 // Tree reports the node's place in the distribution tree.
 type Tree interface {
-	// Above returns the parent node, which this one follows; ok is false if there is none.
-	Above() (parent feed.Member, ok bool)
-	// Reads reports whether the node reads the store for others.
-	Reads() bool
+	// Parent returns the parent node, which this one follows; ok is false if there is none.
+	Parent() (parent feed.Member, ok bool)
+	// ReadsStore reports whether the node reads the store for others.
+	ReadsStore() bool
 }
 
 // TrafficSplitter splits requests among the versions of a service's upstreams.
 type TrafficSplitter interface {
 	// SetSplit sets how a service's requests are split.
 	SetSplit(service vaneyoke.ServiceID, split rollout.Split)
-	// Running returns the number of attempts in flight by service and version.
-	Running() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
+	// InFlightByVersion returns the number of attempts in flight by service and version.
+	InFlightByVersion() map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
 }
 
 // Node performs this node's part in rollouts.
@@ -169,7 +169,7 @@
 			}
 			continue
 		}
-		n.handle(steady.Now(), rollout.Tick{Running: n.splitter.Running(), ReadsStore: n.tree.Reads()})
+		n.handle(steady.Now(), rollout.Tick{Running: n.splitter.InFlightByVersion(), ReadsStore: n.tree.ReadsStore()})
 		n.report(ctx)
 		pause.For(ctx, tickInterval)
 	}
