--- a/api/callerapi/answer.go
+++ b/api/callerapi/answer.go
@@ -28,8 +28,8 @@
 	req    *vaneyoke.Request
 }
 
-// respondWhole waits for the end of the session and responds with one body.
-func (a *responder) respondWhole(ctx context.Context) (*huma.StreamResponse, error) {
+// respondUnary waits for the end of the session and responds with one body.
+func (a *responder) respondUnary(ctx context.Context) (*huma.StreamResponse, error) {
 	session := a.reader.Session()
 	result, err := session.Wait(ctx)
 	a.reader.Close(err != nil)
--- a/api/callerapi/generate.go
+++ b/api/callerapi/generate.go
@@ -86,7 +86,7 @@
 	if req.Stream {
 		return answer.respondStream(ctx)
 	}
-	return answer.respondWhole(ctx)
+	return answer.respondUnary(ctx)
 }
 
 // setRequestFields sets the fields that do not come from the body.
--- a/cmd/vaneyoke/demo.go
+++ b/cmd/vaneyoke/demo.go
@@ -88,11 +88,11 @@
 		return err
 	}
 	defer func() { _ = stream.Close() }()
-	for piece, err := range stream.All() {
+	for chunk, err := range stream.All() {
 		if err != nil {
 			return vaneyoke.WrapErr(vaneyoke.CodeCheckViolation, err, "the stream broke off")
 		}
-		d.handle(piece)
+		d.handle(chunk)
 	}
 	return nil
 }
--- a/cmd/vaneyoke/generate.go
+++ b/cmd/vaneyoke/generate.go
@@ -45,11 +45,11 @@
 		return withResultCode(err)
 	}
 	defer func() { _ = stream.Close() }()
-	for piece, err := range stream.All() {
+	for chunk, err := range stream.All() {
 		if err != nil {
 			return withResultCode(err)
 		}
-		if _, err := fmt.Fprint(cmd.Root().Writer, piece.Text); err != nil {
+		if _, err := fmt.Fprint(cmd.Root().Writer, chunk.Text); err != nil {
 			return err
 		}
 	}
--- a/decide/feed/decide.go
+++ b/decide/feed/decide.go
@@ -156,8 +156,8 @@
 	return s.staleSince.Add(s.config.StaleGrace)
 }
 
-// sendOffers offers the tables to nodes that may lack them: to nodes below in the tree that do not follow this one and, if the
-// tables are stale or the node reads the store in place of those above, to nodes above.
+// sendOffers offers the tables to nodes that may lack them: to children and grandchildren that do not follow this node and, if the
+// tables are stale or the node reads the store without being a root, to nodes of higher rank.
 func (s *State) sendOffers(now time.Time) {
 	if !s.complete || s.tree == nil || now.Before(s.offerAt) {
 		return
--- a/decide/feed/state.go
+++ b/decide/feed/state.go
@@ -9,9 +9,9 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// minSourceLife is how long a source must have been followed for its loss not to count as a failed attempt. Without it a source
+// minFollowTime is how long a source must have been followed for its loss not to count as a failed attempt. Without it a source
 // that repeatedly connects and fails would be retried without a pause.
-const minSourceLife = 100 * time.Millisecond
+const minFollowTime = 100 * time.Millisecond
 
 // State tracks how fresh the node's tables are and which nodes it can take them from.
 type State struct {
@@ -200,7 +200,7 @@
 	if s.source == nil || s.source.member.VM != e.From {
 		return
 	}
-	if s.source.responded && now.Sub(s.source.since) >= minSourceLife {
+	if s.source.responded && now.Sub(s.source.since) >= minFollowTime {
 		s.nextCandidate = 0
 	}
 	s.source = nil
--- a/decide/feed/tree.go
+++ b/decide/feed/tree.go
@@ -71,13 +71,13 @@
 		roots := lo.Filter(t.roots, func(m Member, _ int) bool { return m.DataCentre != self.DataCentre && m.Outranks(self) })
 		return roots[:min(len(roots), limit)]
 	}
-	above := t.dataCentres[self.DataCentre].members[:position]
+	higherRanked := t.dataCentres[self.DataCentre].members[:position]
 	chosen := make([]Member, 0, limit)
 	for i := position; i > 0 && len(chosen) < limit; {
 		i = (i - 1) / fanOut
-		chosen = append(chosen, above[i])
+		chosen = append(chosen, higherRanked[i])
 	}
-	for _, m := range above {
+	for _, m := range higherRanked {
 		if len(chosen) >= limit {
 			break
 		}
--- a/decide/freshness/property_test.go
+++ b/decide/freshness/property_test.go
@@ -28,7 +28,7 @@
 	acceptEarly       bool // a change is reported as accepted once it is committed, without a majority
 	newerAnswer       bool // an answer with a newer revision counts
 	unconfirmedAnswer bool // a restarted node's answers count before it is confirmed again
-	newerRead         bool // a read of a newer revision counts although it is not in force yet
+	newerRead         bool // a read of a newer revision counts although it is not active yet
 }
 
 // call is a read of the store or a call to another node in flight.
--- a/decide/freshness/state.go
+++ b/decide/freshness/state.go
@@ -22,10 +22,10 @@
 	return &State{self: self, validity: validity, members: map[vaneyoke.VMID]bool{}, peerConfirmedAt: map[vaneyoke.VMID]time.Time{}}
 }
 
-// Revision returns the revision in force at the node.
+// Revision returns the active revision of the node.
 func (s *State) Revision() vaneyoke.Revision { return s.revision }
 
-// Apply records the configuration that the node has put in force, and its members; an older one changes nothing.
+// Apply records the configuration that the node has activated, and its members; an older one changes nothing.
 func (s *State) Apply(revision vaneyoke.Revision, members []vaneyoke.VMID) {
 	if revision <= s.revision {
 		return
--- a/decide/gossip/fleet_test.go
+++ b/decide/gossip/fleet_test.go
@@ -231,7 +231,7 @@
 	must.EqOp(t, before, f.sent[7])
 }
 
-// TestHealthyUpstreamClosesBreakers has an upstream whose breaker is open at all nodes that were told of its losses, until one
+// TestHealthyUpstreamClosesBreakers has an upstream whose breaker is open at all nodes that received sightings of its losses, until one
 // of them gets an answer.
 func TestHealthyUpstreamClosesBreakers(t *testing.T) {
 	f := newFleet(30, services(4))
--- a/decide/openai/chunk.go
+++ b/decide/openai/chunk.go
@@ -62,7 +62,7 @@
 // Chat reports whether the answer is a chat.
 func (w *Writer) Chat() bool { return w.chat }
 
-// Text returns the event for a piece of text; id is the event's id, "" for none. The result is valid until the next call.
+// Text returns the event for a chunk of text; id is the event's id, "" for none. The result is valid until the next call.
 func (w *Writer) Text(id string, text []byte) []byte {
 	w.beginEvent(id)
 	if w.chat {
--- a/decide/placement/gossip.go
+++ b/decide/placement/gossip.go
@@ -20,7 +20,7 @@
 	case gossip.KindUnreachable:
 		e.breaker.Open(now)
 	case gossip.KindReplaced:
-		e.goneUntil = now.Add(goneTTL)
+		e.replacedUntil = now.Add(replacedTTL)
 	case gossip.KindHealthy:
 		e.breaker.Succeeded()
 	default: // does not concern the connection to it
--- a/decide/placement/pushback.go
+++ b/decide/placement/pushback.go
@@ -31,7 +31,7 @@
 	return ok && e.hold.Active(now, &e.upstream)
 }
 
-// IsPushedBack reports whether a pushback of the upstream is in force, during which it gets no status queries either.
+// IsPushedBack reports whether a pushback of the upstream is active, during which it gets no status queries either.
 func (s *State) IsPushedBack(now time.Time, id vaneyoke.UpstreamID) bool {
 	e, ok := s.entries[id]
 	return ok && e.hold.IsPushedBack(now, &e.upstream)
--- a/decide/placement/pushback_fleet_test.go
+++ b/decide/placement/pushback_fleet_test.go
@@ -11,7 +11,7 @@
 var pushbackRuns = flag.Int("hold.worlds", 3, "simulations of each fleet of upstreams that push back")
 
 // TestFleetsStayAwayFromUpstreamsThatSaySo simulates fleets of nodes with upstreams that push back for valid and invalid times, shut down before the
-// list says so, and restart, and whose entries lapse, while nodes restart too. The largest fleet takes seconds, so that it is simulated once.
+// list says so, and restart, and whose entries expire, while nodes restart too. The largest fleet takes seconds, so that it is simulated once.
 func TestFleetsStayAwayFromUpstreamsThatSaySo(t *testing.T) {
 	fleets := []struct {
 		nodes, upstreams, runs int
--- a/decide/placement/pushback_sim_test.go
+++ b/decide/placement/pushback_sim_test.go
@@ -68,14 +68,14 @@
 
 // pushbackUpstream is an upstream across restarts.
 type pushbackUpstream struct {
-	upstream    vaneyoke.Upstream
-	shedsUntil  time.Time
-	values      []time.Duration // pushbacks that it requests in turn; a value that is not positive stands for an invalid one
-	nextValue   int
-	leaving     bool
-	downUntil   time.Time
-	windows     map[*pushbackNode][]pushbackWindow
-	toldLeaving map[*pushbackNode]time.Time // when each node received the shutdown notice
+	upstream           vaneyoke.Upstream
+	shedsUntil         time.Time
+	values             []time.Duration // pushbacks that it requests in turn; a value that is not positive stands for an invalid one
+	nextValue          int
+	leaving            bool
+	downUntil          time.Time
+	windows            map[*pushbackNode][]pushbackWindow
+	shutdownNotifiedAt map[*pushbackNode]time.Time // when each node received the shutdown notice
 }
 
 // pushbackWindow is a time without requests that an incarnation of an upstream requested from a node.
@@ -97,7 +97,7 @@
 				ID: vaneyoke.UpstreamID(fmt.Sprint("u", i)), Kind: vaneyoke.KindService, Service: "lm", State: vaneyoke.StateLive, Slots: 6,
 				URL: fmt.Sprint("http://u", i), DataCentre: centres[i%len(centres)], Incarnation: 10,
 			},
-			windows: map[*pushbackNode][]pushbackWindow{}, toldLeaving: map[*pushbackNode]time.Time{},
+			windows: map[*pushbackNode][]pushbackWindow{}, shutdownNotifiedAt: map[*pushbackNode]time.Time{},
 		})
 	}
 	for range nodes {
@@ -113,7 +113,7 @@
 	return n
 }
 
-// list returns the current list of upstreams; entries without a state have lapsed.
+// list returns the current list of upstreams; entries without a state have expired.
 func (sim *pushbackSim) list() (all []vaneyoke.Upstream) {
 	for _, u := range sim.upstreams {
 		if u.upstream.State != "" {
@@ -166,9 +166,9 @@
 	case 0: // it restarts under its ID, and each node learns of it at another time
 		u.downUntil, u.shedsUntil, u.leaving = sim.now.Add(sim.randomDuration(0, time.Second)), time.Time{}, false
 		u.upstream.Incarnation++
-		u.windows, u.toldLeaving = map[*pushbackNode][]pushbackWindow{}, map[*pushbackNode]time.Time{}
+		u.windows, u.shutdownNotifiedAt = map[*pushbackNode][]pushbackWindow{}, map[*pushbackNode]time.Time{}
 		sim.distributeList(2 * time.Second)
-	case 1: // its entry lapses for a while
+	case 1: // its entry is missing for a while
 		u.upstream.State = ""
 		sim.distributeList(100 * time.Millisecond)
 		sim.after(sim.randomDuration(200*time.Millisecond, 2*time.Second), func() {
@@ -295,12 +295,12 @@
 			}
 		}
 	}
-	if notified, ok := u.toldLeaving[n]; ok && sent.After(notified.Add(pushbackDrain)) {
+	if notified, ok := u.shutdownNotifiedAt[n]; ok && sent.After(notified.Add(pushbackDrain)) {
 		sim.violation("%s got a request while it was shutting down", upstream.ID)
 	}
 	signal := pushback.Signal{Upstream: upstream, Leaving: u.leaving}
-	if u.leaving && u.toldLeaving[n].IsZero() {
-		u.toldLeaving[n] = sim.now
+	if u.leaving && u.shutdownNotifiedAt[n].IsZero() {
+		u.shutdownNotifiedAt[n] = sim.now
 	}
 	sheds := sim.now.Before(u.shedsUntil)
 	if sheds {
--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -32,7 +32,7 @@
 		},
 		"another node reports it healthy": func(s *placement.State) { s.RecordGossip(now, "u0", gossip.KindHealthy) },
 		"its entry is listed again":       func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")}) },
-		"its entry lapses and is listed again": func(s *placement.State) {
+		"its entry expires and is listed again": func(s *placement.State) {
 			s.SetUpstreams(nil)
 			s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")})
 		},
@@ -103,9 +103,9 @@
 	restarted := before
 	restarted.Incarnation = 6
 	restarts := map[string]func(s *placement.State){
-		"listed with the new incarnation":     func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
-		"reported by the upstream":            func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{Incarnation: 6}) },
-		"listed again after its entry lapsed": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
+		"listed with the new incarnation":      func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
+		"reported by the upstream":             func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{Incarnation: 6}) },
+		"listed again after its entry expired": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
 	}
 	for name, restart := range restarts {
 		t.Run(name, func(t *testing.T) {
--- a/decide/placement/state.go
+++ b/decide/placement/state.go
@@ -16,9 +16,9 @@
 const (
 	sampleSize = 16   // random candidates compared per choice
 	baseLoad   = 0.05 // load assumed for an upstream on which the node has no work
-	// goneTTL is how long an upstream gets no work after another one answered at its address. It exceeds the time that an entry outlives
+	// replacedTTL is how long an upstream gets no work after another one answered at its address. It exceeds the time that an entry outlives
 	// its upstream, three heartbeats of about 1.2 s, and is limited because the upstream may restart under the same ID.
-	goneTTL = 5 * time.Second
+	replacedTTL = 5 * time.Second
 )
 
 // Need describes the upstream that an attempt requires.
@@ -70,7 +70,7 @@
 	report             vaneyoke.LoadReport // its latest load report
 	reportedAt         time.Time
 	replaced           bool      // whether a newer upstream is listed at its address
-	goneUntil          time.Time // until when it gets no work because another upstream answered at its address
+	replacedUntil      time.Time // until when it gets no work because another upstream answered at its address
 	vmLeaving          bool      // whether its VM is being removed
 	limit              vaneyoke.Limit
 	limitedUntil       time.Time      // until when its rate limit leaves this node no request
@@ -177,7 +177,7 @@
 func (s *State) resetAfterRestart(e *entry) {
 	e.breaker = retry.NewBreaker(s.breaker)
 	e.firstToken, e.declines, e.report, e.replicaBytes = estimate{}, declines{}, vaneyoke.LoadReport{}, 0
-	e.replaced, e.goneUntil, e.reportedAt = false, time.Time{}, time.Time{}
+	e.replaced, e.replacedUntil, e.reportedAt = false, time.Time{}, time.Time{}
 	e.limit, e.limitedUntil, e.lastRetryAt = vaneyoke.Limit{}, time.Time{}, time.Time{}
 }
 
@@ -244,7 +244,7 @@
 
 // isEligible reports whether the upstream may get new work, regardless of its circuit breaker.
 func (e *entry) isEligible(now time.Time) bool {
-	return e.upstream.State == vaneyoke.StateLive && !e.drained && !e.vmLeaving && !e.replaced && !now.Before(e.goneUntil) && !now.Before(e.limitedUntil) &&
+	return e.upstream.State == vaneyoke.StateLive && !e.drained && !e.vmLeaving && !e.replaced && !now.Before(e.replacedUntil) && !now.Before(e.limitedUntil) &&
 		!e.hold.Active(now, &e.upstream)
 }
 
@@ -313,6 +313,6 @@
 	case OutcomeUnreachable:
 		e.breaker.Open(now)
 	case OutcomeGone:
-		e.goneUntil = now.Add(goneTTL)
+		e.replacedUntil = now.Add(replacedTTL)
 	}
 }
--- a/decide/policy/set.go
+++ b/decide/policy/set.go
@@ -15,7 +15,7 @@
 // maxCacheEntries bounds the number of decisions that a set caches within a minute.
 const maxCacheEntries = 50_000
 
-// Set holds all policies in force, indexed by workspace. It is safe for concurrent use.
+// Set holds all active policies, indexed by workspace. It is safe for concurrent use.
 type Set struct {
 	policies     []*Policy // sorted by name
 	mu           sync.Mutex
--- a/decide/ratelimit/fleet_test.go
+++ b/decide/ratelimit/fleet_test.go
@@ -44,7 +44,7 @@
 	return excess, received
 }
 
-// highestLimit returns the highest limit that was in force between two times; declared is false if none was at some time between them.
+// highestLimit returns the highest limit that applied between two times; declared is false if none was at some time between them.
 func (u *upstream) highestLimit(from, to time.Time) (rate float64, declared bool) {
 	if len(u.limits) == 0 || u.limits[0].at.After(from) {
 		return 0, false
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -101,7 +101,7 @@
 	must.GreaterEq(t, 45, stormRetries)
 }
 
-// TestWindowUsesMonotonicClock sets the wall clock forward and back while the monotonic clock goes on. A window that
+// TestWindowUsesMonotonicClock sets the wall clock forward and back while the monotonic clock runs normally. A window that
 // used the wall clock would stop advancing or be emptied.
 func TestWindowUsesMonotonicClock(t *testing.T) {
 	began := time.Now()
--- a/decide/rollout/event.go
+++ b/decide/rollout/event.go
@@ -23,7 +23,7 @@
 	Answer   Answer
 }
 
-// ReportReceived carries the reports of a child node, which include those of the nodes below it in the tree.
+// ReportReceived carries the reports of a child node, which include those of its descendants in the tree.
 type ReportReceived struct {
 	From    vaneyoke.VMID
 	Reports []Report
@@ -38,8 +38,8 @@
 // Tick lets time pass. It carries the attempts in flight at this node, by service and version, and whether the node reads the store for
 // the others.
 type Tick struct {
-	Running    map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
-	ReadsStore bool
+	InFlightByVersion map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
+	ReadsStore        bool
 }
 
 func (OrdersUpdated) event()    {}
@@ -91,7 +91,7 @@
 	Order   vaneyoke.Revision  `json:"order"`
 }
 
-// Report holds what a node and those below it in the tree know of a rollout.
+// Report holds what a node and its descendants in the tree know of a rollout.
 type Report struct {
 	ID
 	Bad     bool  `json:"bad,omitempty"` // whether the target was found bad
--- a/decide/rollout/ramp_test.go
+++ b/decide/rollout/ramp_test.go
@@ -70,9 +70,9 @@
 			reports := s.Reports()
 			must.Len(t, 1, reports)
 			must.True(t, reports[0].Stage < rollout.StageFull || reports[0].Running > 0) // the rollout is not complete
-			for _, sides := range reports[0].Tally {
-				must.GreaterEq(t, 0, sides.Target.Answers)
-				must.MapEmpty(t, sides.Target.Latency)
+			for _, stats := range reports[0].Tally {
+				must.GreaterEq(t, 0, stats.Target.Answers)
+				must.MapEmpty(t, stats.Target.Latency)
 			}
 		})
 	}
--- a/decide/rollout/simulation_test.go
+++ b/decide/rollout/simulation_test.go
@@ -221,7 +221,7 @@
 func (sim *simulation) tickNode(i int) {
 	n := sim.nodes[i]
 	running := map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int{service: {"old": n.running}}
-	sim.handle(i, rollout.Tick{Running: running, ReadsStore: sim.reader() == i})
+	sim.handle(i, rollout.Tick{InFlightByVersion: running, ReadsStore: sim.reader() == i})
 	parent, ok := sim.parent(i)
 	if !ok || n.partitioned {
 		return
--- a/decide/rollout/state.go
+++ b/decide/rollout/state.go
@@ -34,17 +34,17 @@
 	config     Config
 	readsStore bool
 
-	clockReadAt      time.Time // when the store's clock was read; zero if never
-	clock            StoreTime
-	clockRequestedAt time.Time // when it was last requested
-	orders           map[vaneyoke.ServiceID]activeOrder
-	rows             map[vaneyoke.ServiceID]Row                                    // nil until they are known
-	firstSeen        map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time // when a present version appeared; zero if it came with the service's first
-	upstreamCounts   map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
-	running          map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
-	rollouts         map[vaneyoke.ServiceID]*progress
-	splits           map[vaneyoke.ServiceID]Split // as last emitted
-	effects          []Effect
+	clockReadAt       time.Time // when the store's clock was read; zero if never
+	clock             StoreTime
+	clockRequestedAt  time.Time // when it was last requested
+	orders            map[vaneyoke.ServiceID]activeOrder
+	rows              map[vaneyoke.ServiceID]Row                                    // nil until they are known
+	firstSeen         map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]time.Time // when a present version appeared; zero if it came with the service's first
+	upstreamCounts    map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
+	inFlightByVersion map[vaneyoke.ServiceID]map[vaneyoke.SoftwareVersion]int
+	rollouts          map[vaneyoke.ServiceID]*progress
+	splits            map[vaneyoke.ServiceID]Split // as last emitted
+	effects           []Effect
 }
 
 // activeOrder is a current order.
@@ -100,7 +100,7 @@
 		s.clock, s.clockReadAt = ev.At, now
 		s.tick(now)
 	case Tick:
-		s.running, s.readsStore = ev.Running, ev.ReadsStore
+		s.inFlightByVersion, s.readsStore = ev.InFlightByVersion, ev.ReadsStore
 		s.tick(now)
 	}
 	s.updateSplits(now)
@@ -216,7 +216,7 @@
 	s.emit(Stopped{Service: service, Target: s.rows[service].Target, Reason: reason, Answers: target.Answers, Failed: target.Failed})
 }
 
-// totalTally returns the tally of the node and those below it in the tree.
+// totalTally returns the tally of the node and its descendants in the tree.
 func (p *progress) totalTally() Tally {
 	total := p.ownTally.Clone()
 	for _, child := range p.children {
@@ -257,7 +257,7 @@
 
 // runningOffTarget returns how many attempts of this node are in flight at upstreams of versions other than the target.
 func (s *State) runningOffTarget(service vaneyoke.ServiceID) (n int) {
-	for version, running := range s.running[service] {
+	for version, running := range s.inFlightByVersion[service] {
 		if version != s.rows[service].Target {
 			n += running
 		}
--- a/decide/rollout/tally.go
+++ b/decide/rollout/tally.go
@@ -172,19 +172,19 @@
 func (t Tally) count(route vaneyoke.RouteID, target bool, a Answer) {
 	route = t.routeKey(route)
 	stats := t[route]
-	side := &stats.Baseline
+	versionStats := &stats.Baseline
 	if target {
-		side = &stats.Target
+		versionStats = &stats.Target
 	}
 	switch a.Kind {
 	case AnswerGood:
-		side.Answers++
-		side.Latency = side.Latency.merge(Histogram{bucketOf(a.Took): 1})
+		versionStats.Answers++
+		versionStats.Latency = versionStats.Latency.merge(Histogram{bucketOf(a.Took): 1})
 	case AnswerFailed, AnswerLost:
-		side.Answers++
-		side.Failed++
+		versionStats.Answers++
+		versionStats.Failed++
 	case AnswerChunkGap:
-		side.ChunkGap = side.ChunkGap.merge(Histogram{bucketOf(a.Took): 1})
+		versionStats.ChunkGap = versionStats.ChunkGap.merge(Histogram{bucketOf(a.Took): 1})
 	}
 	t[route] = stats
 }
--- a/shell/duties/exchange.go
+++ b/shell/duties/exchange.go
@@ -131,7 +131,7 @@
 func (n *Node) storedLocked(batches []usage.Batch) bool {
 	for i := range batches {
 		b := &batches[i]
-		if mark := n.stored[b.Origin]; mark.Life != b.Life || mark.Seq < b.Seq {
+		if watermark := n.stored[b.Origin]; watermark.Life != b.Life || watermark.Seq < b.Seq {
 			return false
 		}
 	}
--- a/shell/mesh/read.go
+++ b/shell/mesh/read.go
@@ -12,12 +12,12 @@
 
 // readStore follows the store's tables in the given mode until ctx is done.
 func (r *runner) readStore(ctx context.Context, mode feed.ReadMode) {
-	turns := watch.NewRetryGate()
+	gate := watch.NewRetryGate()
 	for name := range r.hub.tables {
 		if mode == feed.ReadNothing || mode == feed.ReadMembers && name != r.config.MembersTable {
 			continue
 		}
-		f := r.newTableFollower(ctx, name, mode, turns)
+		f := r.newTableFollower(ctx, name, mode, gate)
 		r.work.Go(func() {
 			if !r.waitsForOthers(mode) || pause.For(ctx, r.config.MembersReadDelay) {
 				f.Run(ctx)
@@ -32,7 +32,7 @@
 }
 
 // newTableFollower returns a follower of one of the store's tables, which resumes from the version that the hub holds.
-func (n *Node) newTableFollower(ctx context.Context, name string, mode feed.ReadMode, turns *watch.RetryGate) *watch.Follower {
+func (n *Node) newTableFollower(ctx context.Context, name string, mode feed.ReadMode, gate *watch.RetryGate) *watch.Follower {
 	t := n.hub.tables[name]
 	watchConfig := func() watch.Config {
 		config := n.watchConfig()
@@ -46,7 +46,7 @@
 		return config
 	}
 	source := &failureReporter{Source: t.Source, onFailure: func() { n.post(ctx, feed.StoreFailed{}) }}
-	f := watch.New(name, source, watchConfig, turns, &hubSink{ctx: ctx, node: n, table: name}, n.log)
+	f := watch.New(name, source, watchConfig, gate, &hubSink{ctx: ctx, node: n, table: name}, n.log)
 	if rows, version, ok := n.hub.Snapshot(name); ok {
 		f.Resume(rows, version)
 	}
--- a/shell/rollouts/node.go
+++ b/shell/rollouts/node.go
@@ -169,7 +169,7 @@
 			}
 			continue
 		}
-		n.handle(steady.Now(), rollout.Tick{Running: n.splitter.InFlightByVersion(), ReadsStore: n.tree.ReadsStore()})
+		n.handle(steady.Now(), rollout.Tick{InFlightByVersion: n.splitter.InFlightByVersion(), ReadsStore: n.tree.ReadsStore()})
 		n.report(ctx)
 		pause.For(ctx, tickInterval)
 	}
