--- a/tools/measure/bound.go
+++ b/tools/measure/bound.go
@@ -5,78 +5,78 @@
 	"time"
 )
 
-// Day is what a day of the users' bench asks for, and what it takes whatever is decided.
+// Day describes the load and the unavoidable losses of one day of the users' benchmark.
 type Day struct {
-	Generations int           // asked for
-	Calls       int           // asked for
-	Length      time.Duration // of the traffic
-	Worth       float64       // of a generation, where a call's is 1
-	Read        time.Duration // of a prompt on an idle engine
-	Make        time.Duration // of an answer there, without its prompt
-	PowerOff    bool          // whether all VMs lose power at the end; their processes are killed otherwise
-	Closing     bool          // whether the day ends with either
-	Share       float64       // of the VMs that are struck at the end; 0 stands for all
-	CallsFail   float64       // share of the calls that engines fail at every try that a route allows
-	ClassFail   float64       // the same for the kind of call that fails most; 0 where it is no other than CallsFail
-	Price       float64       // of machines, memory, processor time and a replica of each generation
+	Generations          int           // requested
+	Calls                int           // requested
+	Duration             time.Duration // of the traffic
+	GenerationWeight     float64       // value of a generation relative to a call
+	PrefillTime          time.Duration // time to process a prompt on an idle engine
+	DecodeTime           time.Duration // time to generate an answer on an idle engine, without its prompt
+	PowerOff             bool          // whether the VMs lose power in the outage at the end; otherwise only their processes are killed
+	EndsInOutage         bool          // whether the day ends with such an outage
+	OutageShare          float64       // share of the VMs that the outage hits; 0 means all
+	CallFailureRate      float64       // share of the calls that fail at every attempt that the route allows
+	WorstKindFailureRate float64       // the same for the kind of call that fails most; 0 if it equals CallFailureRate
+	Cost                 float64       // score deducted for machines, memory, processor time and a replica of each generation
 }
 
-// Weights of the parts of a day's worth.
+// Weights holds the weights of the parts of a day's score.
 type Weights struct {
-	Whole, Windows, Class float64
-	Nines                 float64 // of the share that is served at all, counted in nines up to three
+	All, WorstWindows, WorstKind float64
+	Availability                 float64 // of the share of requests that are served, counted in nines, up to three
 }
 
-// mostNines is the number of nines that count in full.
-const mostNines = 3
+// maxNines is the number of nines that gives the full availability score.
+const maxNines = 3
 
-// window is the length of the windows of which the two worst count.
-const window = 2 * time.Second
+// windowLength is the length of the windows of which the two worst are scored.
+const windowLength = 2 * time.Second
 
-// Bound returns a worth that no policy passes, if generations come evenly and each takes as long as on an idle engine. What
-// is in flight when all VMs lose power is lost, because callers notice after the time within which an answer is worth
-// anything. When the processes are killed, answers that have begun are lost, because no node is back within the pause that an answer may
-// have; prompts that are being read can be read again in time. Nothing else is lost, and nothing is paid beyond the price.
-func (d Day) Bound(w Weights) float64 {
-	span := time.Duration(0)
-	if d.Closing {
-		span = d.Make
+// UpperBound returns a score that no policy can exceed, if generations arrive evenly and each takes as long as on an idle engine.
+// Requests in flight are lost when all VMs lose power, because callers notice only after an answer has lost its value. When only
+// the processes are killed, answers that have started are lost, because no node restarts within the longest allowed gap of an
+// answer; prompts in progress can be processed again in time. Nothing else is lost, and nothing but the cost is deducted.
+func (d Day) UpperBound(w Weights) float64 {
+	lostTime := time.Duration(0)
+	if d.EndsInOutage {
+		lostTime = d.DecodeTime
 	}
 	if d.PowerOff {
-		span += d.Read
+		lostTime += d.PrefillTime
 	}
-	share := d.Share
+	share := d.OutageShare
 	if share == 0 {
 		share = 1
 	}
-	lost := share * span.Seconds() / d.Length.Seconds()
+	lost := share * lostTime.Seconds() / d.Duration.Seconds()
 	generations := 1 - lost
-	calls := 1 - d.CallsFail
-	credit := float64(d.Generations) * d.Worth
-	owed := credit + float64(d.Calls)
-	whole := (credit*generations + float64(d.Calls)*calls) / owed
-	inWindows := (credit*(1-share*worstWindows(span)) + float64(d.Calls)*calls) / owed
-	worst := 1 - max(d.ClassFail, d.CallsFail)
-	return w.Whole*whole + w.Windows*inWindows + w.Class*min(generations, worst) + w.Nines*d.nines(lost) - d.Price
+	calls := 1 - d.CallFailureRate
+	generationValue := float64(d.Generations) * d.GenerationWeight
+	totalValue := generationValue + float64(d.Calls)
+	served := (generationValue*generations + float64(d.Calls)*calls) / totalValue
+	servedInWorstWindows := (generationValue*(1-share*lostInWorstWindows(lostTime)) + float64(d.Calls)*calls) / totalValue
+	servedOfWorstKind := 1 - max(d.WorstKindFailureRate, d.CallFailureRate)
+	return w.All*served + w.WorstWindows*servedInWorstWindows + w.WorstKind*min(generations, servedOfWorstKind) + w.Availability*d.availability(lost) - d.Cost
 }
 
-// nines returns how many nines the share has that is served at all, of those that count.
-func (d Day) nines(lost float64) float64 {
-	unserved := (float64(d.Generations)*lost + float64(d.Calls)*d.CallsFail) / float64(d.Generations+d.Calls)
+// availability returns the number of nines of the served share, divided by maxNines and at most 1.
+func (d Day) availability(lost float64) float64 {
+	unserved := (float64(d.Generations)*lost + float64(d.Calls)*d.CallFailureRate) / float64(d.Generations+d.Calls)
 	if unserved <= 0 {
 		return 1
 	}
-	return min(-math.Log10(unserved)/mostNines, 1)
+	return min(-math.Log10(unserved)/maxNines, 1)
 }
 
-// worstWindows returns which share of the generations of the two worst windows is lost, where the span of what is lost lies
-// as luckily as it can: in the middle of three windows, as long as it is short.
-func worstWindows(span time.Duration) float64 {
-	covered := span.Seconds() / window.Seconds()
+// lostInWorstWindows returns the share of the generations in the two worst windows that is lost. It assumes the best possible
+// position of the lost time: in the middle of three windows, if it is short enough.
+func lostInWorstWindows(lostTime time.Duration) float64 {
+	covered := lostTime.Seconds() / windowLength.Seconds()
 	switch {
 	case covered <= 1:
 		return covered / 2
-	case covered <= 3: // one whole window, and half of the rest in the next
+	case covered <= 3: // one full window, and half of the rest in the next
 		return (1 + (covered-1)/2) / 2
 	default:
 		return 1
--- a/tools/measure/bound_test.go
+++ b/tools/measure/bound_test.go
@@ -7,25 +7,25 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestBoundOfDays compares plays of the further customer's days with what no policy could earn (docs/WORTH.md). A play above
-// its bound would show an assumption to be wrong.
-func TestBoundOfDays(t *testing.T) {
+// TestUpperBoundExceedsMeasuredScores compares scores measured on another customer's benchmark days with the upper bound of each day
+// (docs/WORTH.md). A measured score above its bound would show that an assumption of the bound is wrong.
+func TestUpperBoundExceedsMeasuredScores(t *testing.T) {
 	const (
-		read = 1040 * time.Millisecond // 5,200 tokens, of which 5 are read in a ms
-		made = 4080 * time.Millisecond // 130 events of 6 tokens, a step each of 5.23 ms
-		fail = 0.0087                  // 0.4% of the calls that run once, and 14% twice of the others, which are three in ten
+		prefill      = 1040 * time.Millisecond // 5,200 tokens at 5 tokens per ms
+		decode       = 4080 * time.Millisecond // 130 events of 6 tokens, each token a step of 5.23 ms
+		callFailures = 0.0087                  // 0.4% of the calls that run once; the others, three in ten of all calls, fail twice at 14% each
 	)
-	weights := Weights{Whole: 0.75, Windows: 0.15, Class: 0.1}
-	day := func(generations, calls, seconds int, worth float64, closing, powerOff bool, price float64) Day {
+	weights := Weights{All: 0.75, WorstWindows: 0.15, WorstKind: 0.1}
+	day := func(generations, calls, seconds int, weight float64, endsInOutage, powerOff bool, cost float64) Day {
 		return Day{
-			Generations: generations, Calls: calls, Length: time.Duration(seconds) * time.Second, Worth: worth, Read: read, Make: made,
-			Closing: closing, PowerOff: powerOff, CallsFail: fail, Price: price,
+			Generations: generations, Calls: calls, Duration: time.Duration(seconds) * time.Second, GenerationWeight: weight, PrefillTime: prefill, DecodeTime: decode,
+			EndsInOutage: endsInOutage, PowerOff: powerOff, CallFailureRate: callFailures, Cost: cost,
 		}
 	}
 	cases := []struct {
-		name   string
-		day    Day
-		played float64 // mean of plays
+		name     string
+		day      Day
+		measured float64 // mean of several runs
 	}{
 		{"quiet-1", day(141, 2003, 34, 120, false, false, 0.027), 0.923},
 		{"trouble-1", day(180, 2596, 52, 120, true, true, 0.029), 0.711},
@@ -40,53 +40,53 @@
 		{"grown trouble-3", day(1656, 12980, 54, 67, true, false, 0.033), 0.654},
 	}
 	for _, tc := range cases {
-		bound := tc.day.Bound(weights)
-		t.Logf("%s: bound %.3f, played %.3f, distance %.3f", tc.name, bound, tc.played, bound-tc.played)
-		must.Greater(t, tc.played, bound, must.Sprint(tc.name))
+		bound := tc.day.UpperBound(weights)
+		t.Logf("%s: bound %.3f, measured %.3f, difference %.3f", tc.name, bound, tc.measured, bound-tc.measured)
+		must.Greater(t, tc.measured, bound, must.Sprint(tc.name))
 	}
 }
 
-// TestBoundOfLargeDays does the same for the deployment of 295 VMs, where some calls fail by themselves on every engine, which binds
-// the nines.
-func TestBoundOfLargeDays(t *testing.T) {
+// TestUpperBoundExceedsMeasuredScoresOfLargeFleet does the same for the deployment of 295 VMs. Some calls fail there on every engine,
+// which limits the availability score.
+func TestUpperBoundExceedsMeasuredScoresOfLargeFleet(t *testing.T) {
 	const (
-		read       = 1040 * time.Millisecond
-		made       = 3850 * time.Millisecond // 140 events of 5 tokens, a step each of 5.5 ms
-		callsFail  = 0.0205                  // 0.4% of the calls that run once, 6.2% of the others, which are 28 in a hundred
-		stockFails = 0.062                   // as played: of 14% that fail, two in five fail twice
+		prefill       = 1040 * time.Millisecond
+		decode        = 3850 * time.Millisecond // 140 events of 5 tokens, each token a step of 5.5 ms
+		callFailures  = 0.0205                  // 0.4% of the calls that run once, and 6.2% of the others, which are 28% of all calls
+		stockFailures = 0.062                   // as measured: 14% fail, and two in five of these fail twice
 	)
-	weights := Weights{Whole: 0.4, Windows: 0.15, Class: 0.1, Nines: 0.35}
-	day := func(generations, calls, seconds int, share, price float64) Day {
+	weights := Weights{All: 0.4, WorstWindows: 0.15, WorstKind: 0.1, Availability: 0.35}
+	day := func(generations, calls, seconds int, share, cost float64) Day {
 		return Day{
-			Generations: generations, Calls: calls, Length: time.Duration(seconds) * time.Second, Worth: 20, Read: read, Make: made,
-			Closing: share > 0, Share: share, CallsFail: callsFail, ClassFail: stockFails, Price: price,
+			Generations: generations, Calls: calls, Duration: time.Duration(seconds) * time.Second, GenerationWeight: 20, PrefillTime: prefill, DecodeTime: decode,
+			EndsInOutage: share > 0, OutageShare: share, CallFailureRate: callFailures, WorstKindFailureRate: stockFailures, Cost: cost,
 		}
 	}
-	off := func(d Day) Day {
+	withPowerOff := func(d Day) Day {
 		d.PowerOff = true
 		return d
 	}
 	cases := []struct {
-		name   string
-		day    Day
-		played float64
+		name     string
+		day      Day
+		measured float64
 	}{
 		{"quiet-1", day(2421, 7274, 34, 0, 0.036), 0.757},
-		{"trouble-1", off(day(3707, 10573, 54, 1, 0.033)), 0.537},
-		{"scale-1", off(day(3022, 8734, 34, 0.627, 0.039)), 0.559},
-		{"trouble-2", off(day(4238, 11803, 56, 1, 0.032)), 0.511},
+		{"trouble-1", withPowerOff(day(3707, 10573, 54, 1, 0.033)), 0.537},
+		{"scale-1", withPowerOff(day(3022, 8734, 34, 0.627, 0.039)), 0.559},
+		{"trouble-2", withPowerOff(day(4238, 11803, 56, 1, 0.032)), 0.511},
 		{"scale-2", day(2679, 7679, 34, 0, 0.033), 0.762},
 		{"trouble-3", day(4374, 12714, 54, 1, 0.029), 0.516},
 	}
 	for _, tc := range cases {
-		bound := tc.day.Bound(weights)
-		t.Logf("%s: bound %.3f, played %.3f, share %.2f", tc.name, bound, tc.played, tc.played/bound)
-		must.Greater(t, tc.played, bound, must.Sprint(tc.name))
+		bound := tc.day.UpperBound(weights)
+		t.Logf("%s: bound %.3f, measured %.3f, share %.2f", tc.name, bound, tc.measured, tc.measured/bound)
+		must.Greater(t, tc.measured, bound, must.Sprint(tc.name))
 	}
 }
 
-// TestBoundWithoutTrouble loses nothing but what engines fail and the price.
-func TestBoundWithoutTrouble(t *testing.T) {
-	quiet := Day{Generations: 100, Calls: 100, Length: time.Minute, Worth: 10, Read: time.Second, Make: 4 * time.Second, Price: 0.03}
-	must.InDelta(t, 0.97, quiet.Bound(Weights{Whole: 0.75, Windows: 0.15, Class: 0.1}), 1e-9)
+// TestUpperBoundWithoutOutage checks that a day without an outage loses nothing but failed calls and the cost.
+func TestUpperBoundWithoutOutage(t *testing.T) {
+	quiet := Day{Generations: 100, Calls: 100, Duration: time.Minute, GenerationWeight: 10, PrefillTime: time.Second, DecodeTime: 4 * time.Second, Cost: 0.03}
+	must.InDelta(t, 0.97, quiet.UpperBound(Weights{All: 0.75, WorstWindows: 0.15, WorstKind: 0.1}), 1e-9)
 }
--- a/tools/measure/changes.go
+++ b/tools/measure/changes.go
@@ -9,21 +9,21 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// countedTable counts the bytes of the rows that are read.
-type countedTable struct {
+// countingTable is a table that counts the bytes of the rows that are read.
+type countingTable struct {
 	store.Table
 	bytes int
 }
 
-// Get reads and counts.
-func (c *countedTable) Get(ctx context.Context, key store.Key) (store.Row, error) {
+// Get reads a row and counts its bytes.
+func (c *countingTable) Get(ctx context.Context, key store.Key) (store.Row, error) {
 	row, err := c.Table.Get(ctx, key)
 	c.bytes += len(row.Value)
 	return row, err
 }
 
-// Scan reads and counts.
-func (c *countedTable) Scan(ctx context.Context, partition, after string, limit int) (store.Page, error) {
+// Scan reads a page of rows and counts their bytes.
+func (c *countingTable) Scan(ctx context.Context, partition, after string, limit int) (store.Page, error) {
 	page, err := c.Table.Scan(ctx, partition, after, limit)
 	for _, row := range page.Rows {
 		c.bytes += len(row.Value)
@@ -31,16 +31,16 @@
 	return page, err
 }
 
-// changeBytes is what one change has a node read, with all rows read and with just the changed ones.
-func changeBytes(ctx context.Context) ([]Series, error) {
-	whole := Series{Name: "change_whole", X: "workspaces", Y: "bytes of rows that a node reads in all at a change"}
-	caught := Series{Name: "change_caught_up", X: "workspaces", Y: "bytes of rows that a node reads to catch up with a change"}
+// changeReadBytes measures the bytes that a node reads after one change, if it reads all rows and if it reads only the changed ones.
+func changeReadBytes(ctx context.Context) ([]Series, error) {
+	full := Series{Name: "change_whole", X: "workspaces", Y: "bytes of rows that a node reads in all at a change"}
+	incremental := Series{Name: "change_caught_up", X: "workspaces", Y: "bytes of rows that a node reads to catch up with a change"}
 	for _, workspaces := range []int{10, 100, 1000, 5300} {
-		table, err := filledTable(ctx, workspaces)
+		table, err := newFilledTable(ctx, workspaces)
 		if err != nil {
 			return nil, err
 		}
-		old, err := catalog.Read(ctx, table, catalog.New(catalog.Content{}))
+		previous, err := catalog.Read(ctx, table, catalog.New(catalog.Content{}))
 		if err != nil {
 			return nil, err
 		}
@@ -48,24 +48,24 @@
 		if _, err := catalog.Apply(ctx, table, catalog.Change{Partition: catalog.PartitionUpstreams, ID: "engine-1", Value: u}); err != nil {
 			return nil, err
 		}
-		for series, from := range map[*Series]*catalog.Snapshot{&whole: catalog.New(catalog.Content{}), &caught: old} {
-			counted := &countedTable{Table: table}
+		for series, from := range map[*Series]*catalog.Snapshot{&full: catalog.New(catalog.Content{}), &incremental: previous} {
+			counted := &countingTable{Table: table}
 			if _, err := catalog.Read(ctx, counted, from); err != nil {
 				return nil, err
 			}
 			series.Points = append(series.Points, Point{float64(workspaces), float64(counted.bytes)})
 		}
 	}
-	return []Series{whole, caught}, nil
+	return []Series{full, incremental}, nil
 }
 
-func filledTable(ctx context.Context, workspaces int) (store.Table, error) {
+func newFilledTable(ctx context.Context, workspaces int) (store.Table, error) {
 	table := newTable()
-	const each = 100
+	const batchSize = 100
 	list := manyWorkspaces(workspaces)
-	for start := 0; start < len(list); start += each {
+	for start := 0; start < len(list); start += batchSize {
 		var changes []catalog.Change
-		for _, w := range list[start:min(start+each, len(list))] {
+		for _, w := range list[start:min(start+batchSize, len(list))] {
 			changes = append(changes, catalog.Change{Partition: catalog.PartitionWorkspaces, ID: string(w.ID), Value: w})
 		}
 		if _, err := catalog.Apply(ctx, table, changes...); err != nil {
--- a/tools/measure/claims.go
+++ b/tools/measure/claims.go
@@ -19,31 +19,31 @@
 
 func newTable() store.Table { return memory.New() }
 
-// countedCommits counts transactions and the writes in them.
-type countedCommits struct {
+// countingCommits is a table that counts transactions and their writes.
+type countingCommits struct {
 	store.Table
 	mu            sync.Mutex
 	calls, writes int
 }
 
-// Commit commits and counts; it takes as long as a store nearby.
-func (c *countedCommits) Commit(ctx context.Context, tx store.Tx) error {
+// Commit counts and commits a transaction, with the latency of a nearby store.
+func (c *countingCommits) Commit(ctx context.Context, tx store.Tx) error {
 	c.mu.Lock()
 	c.calls++
 	c.writes += len(tx.Writes)
 	c.mu.Unlock()
-	time.Sleep(storeTime)
+	time.Sleep(commitTime)
 	return c.Table.Commit(ctx, tx)
 }
 
-const storeTime = 2 * time.Millisecond
+const commitTime = 2 * time.Millisecond
 
-// claimWrites is what claimed calls cost the store.
+// claimWrites measures the rows and transactions that claimed calls write to the store.
 func claimWrites(ctx context.Context) ([]Series, error) {
 	writes := Series{Name: "claim_writes", X: "claimed calls", Y: "rows written"}
 	calls := Series{Name: "claim_transactions", X: "claimed calls", Y: "transactions"}
 	for _, count := range []int{50, 200, 800} {
-		table := &countedCommits{Table: newTable()}
+		table := &countingCommits{Table: newTable()}
 		if err := claimAll(ctx, table, count); err != nil {
 			return nil, err
 		}
@@ -53,8 +53,8 @@
 	return []Series{writes, calls}, nil
 }
 
-// claimAll makes claimed calls, 200 a second, and waits until their answers are kept.
-func claimAll(ctx context.Context, table *countedCommits, count int) error {
+// claimAll makes 200 claimed calls per second and waits until their answers are saved.
+func claimAll(ctx context.Context, table *countingCommits, count int) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	log := logrus.New()
@@ -83,12 +83,12 @@
 		}
 	}
 	for table.written() < 2*count && ctx.Err() == nil {
-		time.Sleep(storeTime)
+		time.Sleep(commitTime)
 	}
 	return ctx.Err()
 }
 
-func (c *countedCommits) written() int {
+func (c *countingCommits) written() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
--- a/tools/measure/core.go
+++ b/tools/measure/core.go
@@ -28,9 +28,9 @@
 	"github.com/vaneyoke/vaneyoke/wire/peer"
 )
 
-const tokensEach = 200
+const tokensPerStream = 200
 
-// fixedStream answers every run with the same stream of tokens; gate, if set, holds its end back.
+// fixedStream is a transport that answers every run with the same stream of tokens. The end of the stream waits for gate, if it is set.
 type fixedStream struct {
 	body []byte
 	gate <-chan struct{}
@@ -38,26 +38,26 @@
 
 func newFixedStream(gate <-chan struct{}) fixedStream {
 	var b bytes.Buffer
-	for i := range tokensEach {
+	for i := range tokensPerStream {
 		fmt.Fprintf(&b, "id: %d\ndata: {\"id\":\"run\",\"choices\":[{\"index\":0,\"prompt_token_ids\":[1,2],\"token_ids\":[%d],\"text\":\" word%d\",\"finish_reason\":null}]}\n\n", i+1, 1000+i, i%100)
 	}
 	return fixedStream{body: b.Bytes(), gate: gate}
 }
 
-// RoundTrip answers with the stream.
+// RoundTrip returns the stream.
 func (f fixedStream) RoundTrip(*http.Request) (*http.Response, error) {
 	end := "data: {\"choices\":[{\"index\":0,\"token_ids\":[],\"finish_reason\":\"stop\"}]}\n\n"
 	body := io.MultiReader(bytes.NewReader(f.body), &gatedReader{gate: f.gate, rest: bytes.NewReader([]byte(end))})
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(body)}, nil
 }
 
-// gatedReader reads nothing until its gate opens.
+// gatedReader is a reader that blocks until its gate is closed.
 type gatedReader struct {
 	gate <-chan struct{}
 	rest io.Reader
 }
 
-// Read waits for the gate.
+// Read waits for the gate and then reads.
 func (g *gatedReader) Read(p []byte) (int, error) {
 	if g.gate != nil {
 		<-g.gate
@@ -65,33 +65,33 @@
 	return g.rest.Read(p)
 }
 
-// onePlacer places everything on one engine.
-type onePlacer struct{}
+// singleEnginePlacer places every request on the same engine.
+type singleEnginePlacer struct{}
 
 // Place returns the engine.
-func (onePlacer) Place(placement.Need, bool) (vaneyoke.Upstream, time.Duration, error) {
+func (singleEnginePlacer) Place(placement.Need, bool) (vaneyoke.Upstream, time.Duration, error) {
 	return vaneyoke.Upstream{ID: "e", URL: "http://engine"}, 0, nil
 }
 
-// Resumed does nothing.
-func (onePlacer) PromptHolders(placement.Need) []vaneyoke.Upstream      { return nil }
-func (onePlacer) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport)     {}
-func (onePlacer) HasRoom(placement.Need) bool                           { return true }
-func (onePlacer) SpilloverUpstreams(placement.Need) []vaneyoke.Upstream { return nil }
-func (onePlacer) AffinityUpstreams(placement.Need) []vaneyoke.Upstream  { return nil }
-func (onePlacer) RefundRetry(placement.Need)                            {}
-func (onePlacer) Admit(placement.Need)                                  {}
-func (onePlacer) PickReplica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
+// The remaining methods of relay.Placer have no effect.
+func (singleEnginePlacer) PromptHolders(placement.Need) []vaneyoke.Upstream      { return nil }
+func (singleEnginePlacer) Reported(vaneyoke.UpstreamID, vaneyoke.LoadReport)     {}
+func (singleEnginePlacer) HasRoom(placement.Need) bool                           { return true }
+func (singleEnginePlacer) SpilloverUpstreams(placement.Need) []vaneyoke.Upstream { return nil }
+func (singleEnginePlacer) AffinityUpstreams(placement.Need) []vaneyoke.Upstream  { return nil }
+func (singleEnginePlacer) RefundRetry(placement.Need)                            {}
+func (singleEnginePlacer) Admit(placement.Need)                                  {}
+func (singleEnginePlacer) PickReplica(placement.Need, vaneyoke.Upstream) (vaneyoke.Upstream, bool) {
 	return vaneyoke.Upstream{}, false
 }
-func (onePlacer) ReleaseReplica(vaneyoke.UpstreamID, placement.Need) {}
-func (onePlacer) Resumed(vaneyoke.UpstreamID)                        {}
+func (singleEnginePlacer) ReleaseReplica(vaneyoke.UpstreamID, placement.Need) {}
+func (singleEnginePlacer) Resumed(vaneyoke.UpstreamID)                        {}
 
-// Ended does nothing.
-func (onePlacer) Ended(vaneyoke.UpstreamID, placement.Outcome, bool) {}
+// Ended ignores the outcome.
+func (singleEnginePlacer) Ended(vaneyoke.UpstreamID, placement.Outcome, bool) {}
 
-// FirstToken does nothing.
-func (onePlacer) FirstToken(vaneyoke.UpstreamID, time.Duration, int) {}
+// FirstToken ignores the latency.
+func (singleEnginePlacer) FirstToken(vaneyoke.UpstreamID, time.Duration, int) {}
 
 func newRelay(stream fixedStream) *relay.Relay {
 	client := &http.Client{Transport: stream}
@@ -99,10 +99,10 @@
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.PanicLevel)
 	config := relay.Config{Generation: generation.DefaultConfig()}
-	// Streams that are held back on purpose are not to be taken for silent.
+	// Streams that wait for their gate must not be treated as silent.
 	config.Generation.Silence = generation.Silence{FirstToken: time.Hour, Floor: time.Hour, Ceiling: time.Hour}
 	tracer := noop.NewTracerProvider().Tracer("")
-	return relay.New(engine.New(client, client), nil, onePlacer{}, tracer, relay.NewMetrics(new(expvar.Map).Init()), log, config)
+	return relay.New(engine.New(client, client), nil, singleEnginePlacer{}, tracer, relay.NewMetrics(new(expvar.Map).Init()), log, config)
 }
 
 func request(i int) *vaneyoke.Request {
@@ -112,7 +112,7 @@
 	}
 }
 
-// tokenTime is the processor time of tokens through sessions, readers and encoder, sockets apart.
+// tokenTime measures the processor time of tokens through sessions, readers and encoder, without sockets.
 func tokenTime(ctx context.Context) Series {
 	s := Series{Name: "token_time", X: "streams at once", Y: "processor time of all their tokens in us"}
 	for _, streams := range []int{10, 100, 1000, 5000} {
@@ -128,7 +128,7 @@
 	return s
 }
 
-// readAll reads a session as a caller's connection does.
+// readAll reads a session to its end, as a caller's connection does.
 func readAll(ctx context.Context, session *relay.Session) {
 	writer := openai.NewWriter(session.Request(), time.Now())
 	from := 0
@@ -142,7 +142,7 @@
 	}
 }
 
-// sessionMemory is the memory of sessions that have given 200 tokens and still run.
+// sessionMemory measures the memory of running sessions that have delivered 200 tokens.
 func sessionMemory(ctx context.Context) Series {
 	s := Series{Name: "session_memory", X: "running sessions", Y: "heap in bytes"}
 	for _, sessions := range []int{100, 1000, 10_000} {
@@ -154,7 +154,7 @@
 			list[i] = r.Generate(ctx, request(i))
 		}
 		for _, session := range list {
-			for len(session.Save().Restored.IDs) < tokensEach {
+			for len(session.Save().Restored.IDs) < tokensPerStream {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -167,7 +167,7 @@
 	return s
 }
 
-// delta returns a push of count tokens; the first one of a session names it by its key.
+// delta returns a push of count tokens; the first push of a session contains its key.
 func delta(session, from, count int) journal.Delta {
 	d := journal.Delta{
 		Handle: journal.Handle{Number: uint64(session)},
@@ -185,23 +185,23 @@
 	return d
 }
 
-// tokensEachPush is what a stream of 34 tokens a second gives between two pushes, 250 ms apart.
-const tokensEachPush = 9
+// tokensPerPush is the number of tokens between two pushes, 250 ms apart, of a stream of 34 tokens per second.
+const tokensPerPush = 9
 
-// journalBytes is what journals take on the wire.
+// journalBytes measures the encoded size of journal pushes.
 func journalBytes(context.Context) Series {
 	s := Series{Name: "journal_wire", X: "tokens", Y: "bytes of pushes"}
 	for _, sessions := range []int{10, 100, 1000} {
 		size := 0
 		for i := range sessions {
-			size += proto.Size(peer.WireDelta(delta(i+1, 100, tokensEachPush)))
+			size += proto.Size(peer.WireDelta(delta(i+1, 100, tokensPerPush)))
 		}
-		s.Points = append(s.Points, Point{X: float64(sessions * tokensEachPush), Y: float64(size)})
+		s.Points = append(s.Points, Point{X: float64(sessions * tokensPerPush), Y: float64(size)})
 	}
 	return s
 }
 
-// journalTime is the processor time of keeping journals, encoding and decoding among it.
+// journalTime measures the processor time of the journal store, including encoding and decoding of the pushes.
 func journalTime(context.Context) Series {
 	s := Series{Name: "journal_time", X: "pushed deltas", Y: "processor time in us"}
 	for _, sessions := range []int{100, 1000, 10_000} {
@@ -210,7 +210,7 @@
 		before := processorTime()
 		for push := range 5 {
 			for i := range sessions {
-				raw, err := proto.Marshal(peer.WireDelta(delta(i, tokensEachPush*push, tokensEachPush)))
+				raw, err := proto.Marshal(peer.WireDelta(delta(i, tokensPerPush*push, tokensPerPush)))
 				if err == nil {
 					store.Push(now, peer.ReadDelta(raw))
 				}
@@ -221,14 +221,14 @@
 	return s
 }
 
-// journalMemory is the memory of journals of 200 tokens.
+// journalMemory measures the memory of journals of 200 tokens.
 func journalMemory(context.Context) Series {
 	s := Series{Name: "journal_memory", X: "journals of 200 tokens", Y: "heap in bytes"}
 	for _, sessions := range []int{100, 1000, 10_000} {
 		before := heapBytes()
 		store := journal.New(journal.Config{MaxBytes: 1 << 30, Retention: time.Hour})
 		for i := range sessions {
-			store.Push(time.Now(), delta(i, 0, tokensEach))
+			store.Push(time.Now(), delta(i, 0, tokensPerStream))
 		}
 		s.Points = append(s.Points, Point{X: float64(sessions), Y: heapBytes() - before})
 		store.Drop(journal.Key{})
@@ -236,7 +236,7 @@
 	return s
 }
 
-// placementTime is the time of one choice among engines.
+// placementTime measures the time of one placement decision.
 func placementTime(context.Context) Series {
 	s := Series{Name: "placement_time", X: "engines", Y: "time of one choice in ns"}
 	for _, engines := range []int{27, 100, 400, 690} {
@@ -252,12 +252,12 @@
 		rng := rand.New(rand.NewPCG(1, 1))
 		now := time.Now()
 		need := placement.Need{Kind: vaneyoke.KindEngine, Model: "m3"}
-		s.Points = append(s.Points, Point{X: float64(engines), Y: perCall(func() { state.Pick(now, rng, need) })})
+		s.Points = append(s.Points, Point{X: float64(engines), Y: nanosecondsPerCall(func() { state.Pick(now, rng, need) })})
 	}
 	return s
 }
 
-// policyTime is the time of one decision with 100 policies, all workspaces in turn.
+// policyTime measures the time of one policy decision with 100 policies; the workspaces take turns.
 func policyTime(context.Context) Series {
 	s := Series{Name: "policy_time", X: "workspaces", Y: "time of one decision in ns"}
 	for _, workspaces := range []int{10, 100, 1000, 5300} {
@@ -269,7 +269,7 @@
 			queries[w] = policy.Query{Workspace: fmt.Sprintf("w%d", w), Kind: "p50", Model: "m", DataCentre: "hall-a"}
 			set.Decide(now, queries[w])
 		}
-		s.Points = append(s.Points, Point{X: float64(workspaces), Y: perCall(func() { set.Decide(now, queries[i%workspaces]); i++ })})
+		s.Points = append(s.Points, Point{X: float64(workspaces), Y: nanosecondsPerCall(func() { set.Decide(now, queries[i%workspaces]); i++ })})
 	}
 	return s
 }
@@ -285,7 +285,7 @@
 	return list
 }
 
-// configurationMemory is the memory of the configuration at a node.
+// configurationMemory measures the memory of a node's copy of the configuration.
 func configurationMemory(context.Context) Series {
 	s := Series{Name: "configuration_memory", X: "workspaces", Y: "heap in bytes"}
 	for _, workspaces := range []int{10, 100, 1000, 5300} {
--- a/tools/measure/doc.go
+++ b/tools/measure/doc.go
@@ -1,2 +1,2 @@
-// Package measure finds what a node costs for each stream, node, engine and workspace, and works it out for other sizes.
+// Package measure measures what a node costs for each stream, node, engine and workspace, and extrapolates the costs to other fleet sizes.
 package measure
--- a/tools/measure/page.go
+++ b/tools/measure/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Marks between which the page's tables stand.
+// Markers that enclose the generated tables of the page.
 const (
 	PageBegin  = "<!-- tables: written by vaneyoke measure -->"
 	PageEnd    = "<!-- end of tables -->"
@@ -14,81 +14,81 @@
 	SweepEnd   = "<!-- end of sweep -->"
 )
 
-// Size is a fleet and its load at the peak.
+// Size describes a fleet and its peak load.
 type Size struct {
-	Name       string
-	Nodes      float64
-	Engines    float64
-	Workspaces float64
-	Requests   float64 // a second
-	Tokens     float64 // generated a second
-	Changes    float64 // of the configuration a day
+	Name              string
+	Nodes             float64
+	Engines           float64
+	Workspaces        float64
+	RequestsPerSecond float64 // requests of callers
+	TokensPerSecond   float64 // generated tokens
+	ChangesPerDay     float64 // changes of the configuration
 }
 
 const (
-	pollPeriod = 0.72 // seconds, with its jitter
-	pollsEach  = 2    // of the revision and of the list of VMs
-	homesEach  = 2    // nodes that are told of a key
-
-	tokenGap   = 0.029 // seconds between the tokens of a stream
-	pushPeriod = 0.25  // seconds
-	// pushOverhead is what HTTP adds to a push and its answer in bytes, as the questions of an outage have it.
-	pushOverhead = 460.0
-	retention    = 600  // seconds that a finished answer is kept
-	claimShare   = 0.05 // of requests that are claimed calls, an assumption
-	usPerSecond  = 1e6
-	nsPerSecond  = 1e9
-	daySeconds   = 86_400
-	megabyte     = 1 << 20
-	storeWrites  = 300 // the store's "some hundred writes" a second
-	boundMemory  = 128 // megabytes
+	pollPeriod           = 0.72 // seconds, including jitter
+	pollsPerPeriod       = 2    // one of the revision and one of the list of VMs
+	directoryPeersPerKey = 2    // nodes that are informed of each key's session
+
+	tokenInterval = 0.029 // seconds between two tokens of a stream
+	pushPeriod    = 0.25  // seconds
+	// pushOverhead is the number of bytes that HTTP adds to a push and its answer, as for the queries that nodes send each other during an outage of the store.
+	pushOverhead   = 460.0
+	retention      = 600  // seconds for which a finished answer is kept
+	claimShare     = 0.05 // assumed share of requests that are claimed calls
+	usPerSecond    = 1e6
+	nsPerSecond    = 1e9
+	daySeconds     = 86_400
+	megabyte       = 1 << 20
+	maxStoreWrites = 300 // per second; the store's limit is given as "some hundred writes"
+	maxMemoryMB    = 128 // megabytes
 )
 
-// Letter is the size that the users expect within two years.
-func Letter() Size {
-	return Size{Name: "letter", Nodes: 410, Engines: 690, Workspaces: 5300, Requests: 1500, Tokens: 520_000, Changes: 770}
+// PlannedSize returns the size that the users expect within two years.
+func PlannedSize() Size {
+	return Size{Name: "letter", Nodes: 410, Engines: 690, Workspaces: 5300, RequestsPerSecond: 1500, TokensPerSecond: 520_000, ChangesPerDay: 770}
 }
 
-// Today is a deployment of today; its load is the letter's, scaled by engines, which is an assumption.
-func Today() Size {
+// CurrentSize returns the size of a current deployment. Its load is assumed to be the planned load scaled by the number of engines.
+func CurrentSize() Size {
 	const engines = 27
-	letter := Letter()
-	share := engines / letter.Engines
+	planned := PlannedSize()
+	share := engines / planned.Engines
 	return Size{
 		Name: "today", Nodes: 7, Engines: engines, Workspaces: 10,
-		Requests: letter.Requests * share, Tokens: letter.Tokens * share, Changes: letter.Changes * share,
+		RequestsPerSecond: planned.RequestsPerSecond * share, TokensPerSecond: planned.TokensPerSecond * share, ChangesPerDay: planned.ChangesPerDay * share,
 	}
 }
 
-// BadHour is the letter's size after one of its eight data centres was lost at the peak, with all of its load left.
-func BadHour() Size {
+// DataCentreLostSize returns the planned size after the loss of one of its eight data centres at peak load; the load stays the same.
+func DataCentreLostSize() Size {
 	const left = 7.0 / 8
-	size := Letter()
+	size := PlannedSize()
 	size.Name = "data centre lost"
 	size.Nodes *= left
 	size.Engines *= left
 	return size
 }
 
-func (s Size) streams() float64 { return s.Tokens * tokenGap }
+func (s Size) openStreams() float64 { return s.TokensPerSecond * tokenInterval }
 
-// row is one figure of the page.
+// row is one row of the page's table of figures.
 type row struct {
-	role, figure, unit, mechanism, source string
+	role, figure, unit, mechanism, series string
 	bound                                 float64 // 0 for none
-	at                                    func(Size) float64
+	value                                 func(Size) float64
 }
 
-// slope returns what one more costs in a series.
+// slope returns the cost per unit in a series.
 func (r *Report) slope(name string) float64 { return r.Find(name).Slope }
 
-// at returns the cost of a size in a series.
+// at returns the cost of a series at size x.
 func (r *Report) at(name string, x float64) float64 { return r.Find(name).At(x) }
 
-// perNode parts a load over the nodes.
+// perNode divides a load by the number of nodes.
 func perNode(s Size, total float64) float64 { return total / s.Nodes }
 
-// rows returns the figures of the page, each worked out from a slope.
+// rows returns the figures of the page, each computed from a measured series or from settings.
 func (r *Report) rows() []row {
 	return slices.Concat(r.requestRows(), r.controlRows(), r.storeRows())
 }
@@ -97,57 +97,57 @@
 func (r *Report) requestRows() []row {
 	return []row{
 		{"caller front, generation owner", "processor", "% of a core", "relay: parser, state machine, encoder", "token_time", 0, func(s Size) float64 {
-			return 100 * perNode(s, s.Tokens) * r.slope("token_time") / tokensEach / usPerSecond
+			return 100 * perNode(s, s.TokensPerSecond) * r.slope("token_time") / tokensPerStream / usPerSecond
 		}},
 		{"generation owner", "memory", "MB", "session: transcript and links", "session_memory", 0, func(s Size) float64 {
-			return perNode(s, s.streams()) * r.slope("session_memory") / megabyte
+			return perNode(s, s.openStreams()) * r.slope("session_memory") / megabyte
 		}},
-		{"generation owner", "journal pushes, if every request has a key", "bytes/s", "push of deltas by handle each 250 ms", "journal_wire", BoundBytes, func(s Size) float64 {
-			return perNode(s, s.Tokens)*r.slope("journal_wire") + pushOverhead/pushPeriod
+		{"generation owner", "journal pushes, if every request has a key", "bytes/s", "push of deltas by handle each 250 ms", "journal_wire", MaxBytesPerSecond, func(s Size) float64 {
+			return perNode(s, s.TokensPerSecond)*r.slope("journal_wire") + pushOverhead/pushPeriod
 		}},
-		{"backup", "processor", "% of a core", "journal store, encoding among it", "journal_time", BoundCore, func(s Size) float64 {
-			return 100 * perNode(s, s.streams()) / pushPeriod * r.slope("journal_time") / usPerSecond
+		{"backup", "processor", "% of a core", "journal store, encoding among it", "journal_time", MaxCorePercent, func(s Size) float64 {
+			return 100 * perNode(s, s.openStreams()) / pushPeriod * r.slope("journal_time") / usPerSecond
 		}},
-		{"backup", "memory, finished answers for 10 min", "MB", "journal store, oldest finished first", "journal_memory", boundMemory, func(s Size) float64 {
-			return perNode(s, s.streams()+s.Requests*retention) * r.slope("journal_memory") / megabyte
+		{"backup", "memory, finished answers for 10 min", "MB", "journal store, oldest finished first", "journal_memory", maxMemoryMB, func(s Size) float64 {
+			return perNode(s, s.openStreams()+s.RequestsPerSecond*retention) * r.slope("journal_memory") / megabyte
 		}},
-		{"placement", "processor", "% of a core", "choice of two among the candidates", "placement_time", BoundCore, func(s Size) float64 {
-			return 100 * perNode(s, s.Requests) * r.at("placement_time", s.Engines) / nsPerSecond
+		{"placement", "processor", "% of a core", "choice of two among the candidates", "placement_time", MaxCorePercent, func(s Size) float64 {
+			return 100 * perNode(s, s.RequestsPerSecond) * r.at("placement_time", s.Engines) / nsPerSecond
 		}},
 		{"generation owner", "messages to other nodes, if every request has a key", "messages/s", "two homes for each key, a push each 250 ms", "settings", 0, func(s Size) float64 {
-			return homesEach*perNode(s, s.Requests) + 1/pushPeriod
+			return directoryPeersPerKey*perNode(s, s.RequestsPerSecond) + 1/pushPeriod
 		}},
 		{"backup, home", "messages from other nodes, if every request has a key", "messages/s", "the same, seen from the other side", "settings", 0, func(s Size) float64 {
-			return homesEach*perNode(s, s.Requests) + 1/pushPeriod
+			return directoryPeersPerKey*perNode(s, s.RequestsPerSecond) + 1/pushPeriod
 		}},
-		{"caller front", "requests", "requests/s", "balancer of the platform", "settings", 0, func(s Size) float64 { return perNode(s, s.Requests) }},
+		{"caller front", "requests", "requests/s", "balancer of the platform", "settings", 0, func(s Size) float64 { return perNode(s, s.RequestsPerSecond) }},
 	}
 }
 
-// controlRows returns the figures of a node that no caller asks anything.
+// controlRows returns the figures of a node's control work, most of which do not depend on callers.
 func (r *Report) controlRows() []row {
 	return []row{
-		{"policy follower", "processor of decisions", "% of a core", "decision remembered for a minute", "policy_time", BoundCore, func(s Size) float64 {
-			return 100 * perNode(s, s.Requests) * r.at("policy_time", s.Workspaces) / nsPerSecond
+		{"policy follower", "processor of decisions", "% of a core", "decision remembered for a minute", "policy_time", MaxCorePercent, func(s Size) float64 {
+			return 100 * perNode(s, s.RequestsPerSecond) * r.at("policy_time", s.Workspaces) / nsPerSecond
 		}},
-		{"policy follower", "bytes of changes, on average", "bytes/s", "rows that changed", "change_caught_up", BoundBytes, func(s Size) float64 {
-			return s.Changes / daySeconds * r.at("change_caught_up", s.Workspaces)
+		{"policy follower", "bytes of changes, on average", "bytes/s", "rows that changed", "change_caught_up", MaxBytesPerSecond, func(s Size) float64 {
+			return s.ChangesPerDay / daySeconds * r.at("change_caught_up", s.Workspaces)
 		}},
-		{"policy follower", "the same, if all rows were read", "bytes/s", "(rejected)", "change_whole", BoundBytes, func(s Size) float64 {
-			return s.Changes / daySeconds * r.at("change_whole", s.Workspaces)
+		{"policy follower", "the same, if all rows were read", "bytes/s", "(rejected)", "change_whole", MaxBytesPerSecond, func(s Size) float64 {
+			return s.ChangesPerDay / daySeconds * r.at("change_whole", s.Workspaces)
 		}},
-		{"policy follower", "memory of the configuration", "MB", "snapshot", "configuration_memory", boundMemory, func(s Size) float64 {
+		{"policy follower", "memory of the configuration", "MB", "snapshot", "configuration_memory", maxMemoryMB, func(s Size) float64 {
 			return r.at("configuration_memory", s.Workspaces) / megabyte
 		}},
 		{"policy follower, membership", "messages, store up", "messages/s", "revision and list of VMs", "settings", 0, func(Size) float64 {
-			return pollsEach / pollPeriod
+			return pollsPerPeriod / pollPeriod
 		}},
 		{"policy follower", "messages, store down", "messages/s", "each node asks a majority", "settings", 0, func(s Size) float64 {
-			const share = 0.5 // a majority is asked
+			const share = 0.5 // each node asks a majority
 			return share * s.Nodes / pollPeriod
 		}},
-		{"policy follower", "bytes, store down", "bytes/s", "each node asks a majority", "settings", BoundBytes, func(s Size) float64 {
-			const share, question = 0.5, 816 // bytes of a question and its answer, both ways, as outages of 6 to 40 nodes had them
+		{"policy follower", "bytes, store down", "bytes/s", "each node asks a majority", "settings", MaxBytesPerSecond, func(s Size) float64 {
+			const share, question = 0.5, 816 // bytes of a query and its answer, in both directions, measured in outages with 6 to 40 nodes
 			return share * s.Nodes / pollPeriod * question
 		}},
 	}
@@ -156,12 +156,12 @@
 // storeRows returns the figures of the platform's table.
 func (r *Report) storeRows() []row {
 	return []row{
-		{"claim writer, platform's table", "writes, if 5% of requests are claimed", "rows/s", "claim and kept answer", "claim_writes", storeWrites, func(s Size) float64 {
-			return s.Requests * claimShare * r.slope("claim_writes")
+		{"claim writer, platform's table", "writes, if 5% of requests are claimed", "rows/s", "claim and kept answer", "claim_writes", maxStoreWrites, func(s Size) float64 {
+			return s.RequestsPerSecond * claimShare * r.slope("claim_writes")
 		}},
-		{"operator API, platform's table", "writes at the busiest", "rows/s", "revision, row, trace, audit for each change", "-", storeWrites, func(s Size) float64 {
-			const rowsEach, busiest = 4, 100 // a hundred times the day's average
-			return s.Changes / daySeconds * rowsEach * busiest
+		{"operator API, platform's table", "writes at the busiest", "rows/s", "revision, row, trace, audit for each change", "-", maxStoreWrites, func(s Size) float64 {
+			const rowsEach, busiest = 4, 100 // 100 times the daily average
+			return s.ChangesPerDay / daySeconds * rowsEach * busiest
 		}},
 	}
 }
@@ -169,15 +169,15 @@
 // Tables returns the tables of docs/CAPACITY.md.
 func (r *Report) Tables() string {
 	var b strings.Builder
-	sizes := []Size{Today(), Letter(), BadHour()}
+	sizes := []Size{CurrentSize(), PlannedSize(), DataCentreLostSize()}
 	b.WriteString("| role | figure for one node, if not said otherwise | unit | today | letter | data centre lost | bound | mechanism | slope |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, row := range r.rows() {
 		fmt.Fprintf(&b, "| %s | %s | %s |", row.role, row.figure, row.unit)
 		for _, size := range sizes {
-			fmt.Fprintf(&b, " %s |", mark(row.at(size), row.bound))
+			fmt.Fprintf(&b, " %s |", formatFigure(row.value(size), row.bound))
 		}
-		fmt.Fprintf(&b, " %s | %s | `%s` |\n", boundText(row.bound), row.mechanism, row.source)
+		fmt.Fprintf(&b, " %s | %s | `%s` |\n", formatBound(row.bound), row.mechanism, row.series)
 	}
 	b.WriteString("\n| slope | size | measured at | cost at size 0 | for each more | r² | spread | cost |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range r.Series {
@@ -190,8 +190,8 @@
 	return b.String()
 }
 
-// mark writes a figure, in bold where it is over its bound.
-func mark(v, bound float64) string {
+// formatFigure formats a figure, in bold if it exceeds its bound.
+func formatFigure(v, bound float64) string {
 	text := fmt.Sprintf("%.3g", v)
 	if v >= 1000 {
 		text = fmt.Sprintf("%.0f", v)
@@ -202,24 +202,24 @@
 	return text
 }
 
-func boundText(bound float64) string {
+func formatBound(bound float64) string {
 	if bound == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%g", bound)
 }
 
-// ReplaceTables returns the page with new tables.
+// ReplaceTables returns the page with its tables replaced by those of the report.
 func (r *Report) ReplaceTables(page string) string {
 	return replaceBetween(page, PageBegin, PageEnd, r.Tables())
 }
 
-// ReplaceTable returns the page with the sweep's table.
+// ReplaceTable returns the page with its sweep table replaced.
 func (s *Sweep) ReplaceTable(page string) string {
 	return replaceBetween(page, SweepBegin, SweepEnd, s.Table())
 }
 
-// replaceBetween replaces what stands between two marks; a page without them stays as it is.
+// replaceBetween replaces the text between two markers; a page without them is returned unchanged.
 func replaceBetween(page, begin, end, text string) string {
 	head, rest, found := strings.Cut(page, begin)
 	_, tail, ended := strings.Cut(rest, end)
--- a/tools/measure/page_test.go
+++ b/tools/measure/page_test.go
@@ -11,8 +11,8 @@
 	"github.com/vaneyoke/vaneyoke/tools/measure"
 )
 
-// TestPageQuotesTheSlopes keeps docs/CAPACITY.md and docs/slopes.json from drifting apart.
-func TestPageQuotesTheSlopes(t *testing.T) {
+// TestPageMatchesSlopes checks that the tables in docs/CAPACITY.md agree with docs/slopes.json.
+func TestPageMatchesSlopes(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/slopes.json")
 	must.NoError(t, err)
 	var report measure.Report
@@ -27,8 +27,8 @@
 	must.StrContains(t, string(page), report.Tables())
 }
 
-// TestPageQuotesTheSweep does the same for the figures of the users' bench.
-func TestPageQuotesTheSweep(t *testing.T) {
+// TestPageMatchesSweep checks that the sweep table in docs/CAPACITY.md agrees with docs/sweep.json, the figures of the users' benchmark.
+func TestPageMatchesSweep(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/sweep.json")
 	must.NoError(t, err)
 	var sweep measure.Sweep
@@ -44,11 +44,11 @@
 	must.StrContains(t, string(page), sweep.Table())
 }
 
-// TestPower holds the power by which figures are carried on.
-func TestPower(t *testing.T) {
+// TestGrowthExponent checks the exponent that figures are extrapolated with.
+func TestGrowthExponent(t *testing.T) {
 	sizes := []float64{30, 100, 300}
 	for want, values := range map[float64][]float64{0: {5, 5, 5}, 1: {3, 10, 30}, 0.5: {math.Sqrt(30), 10, math.Sqrt(300)}} {
-		must.InDelta(t, want, measure.Power(sizes, values), 1e-9)
+		must.InDelta(t, want, measure.GrowthExponent(sizes, values), 1e-9)
 	}
-	must.EqOp(t, 0, measure.Power(sizes, []float64{9, 5, 3}))
+	must.EqOp(t, 0, measure.GrowthExponent(sizes, []float64{9, 5, 3}))
 }
--- a/tools/measure/plot.go
+++ b/tools/measure/plot.go
@@ -9,19 +9,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The letter's bounds for the control of one node.
+// The users' bounds for the control work of one node.
 const (
-	BoundBytes = 14 * 1024.0
-	BoundCore  = 1.8
+	MaxBytesPerSecond = 14 * 1024.0
+	MaxCorePercent    = 1.8
 )
 
 const (
-	plotWidth  = 8 * vg.Inch
-	plotHeight = 5 * vg.Inch
-	full       = 100.0
+	plotWidth      = 8 * vg.Inch
+	plotHeight     = 5 * vg.Inch
+	hundredPercent = 100.0
 )
 
-// Plot writes a picture of the figures that have a bound against the number of nodes, as a share of it, to a file whose ending names its form.
+// Plot plots every bounded figure, as a percentage of its bound, against the number of nodes. The file extension selects the image format.
 func (s *Sweep) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = "Cost of a node with its callers' traffic, as a share of the bound for control"
@@ -32,13 +32,13 @@
 	var lines []any
 	for _, f := range s.Figures {
 		if f.Bound > 0 {
-			lines = append(lines, f.Name+", middle", s.shares(f.Middle, f.Bound), f.Name+", busiest", s.shares(f.Busiest, f.Bound))
+			lines = append(lines, f.Name+", middle", s.percentOfBound(f.Middle, f.Bound), f.Name+", busiest", s.percentOfBound(f.Busiest, f.Bound))
 		}
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return err
 	}
-	bound := plotter.NewFunction(func(float64) float64 { return full })
+	bound := plotter.NewFunction(func(float64) float64 { return hundredPercent })
 	bound.Color = color.RGBA{R: 200, A: 255}
 	bound.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	p.Add(bound, plotter.NewGrid())
@@ -48,14 +48,14 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// shares returns the measured points and those that they are carried on to, as percent of a bound.
-func (s *Sweep) shares(values []float64, bound float64) plotter.XYs {
+// percentOfBound returns the measured and the extrapolated points, in percent of a bound.
+func (s *Sweep) percentOfBound(values []float64, bound float64) plotter.XYs {
 	var points plotter.XYs
 	for i, size := range s.Sizes {
-		points = append(points, plotter.XY{X: size, Y: full * values[i] / bound})
+		points = append(points, plotter.XY{X: size, Y: hundredPercent * values[i] / bound})
 	}
-	for _, nodes := range []float64{letterNodes, targetNodes} {
-		points = append(points, plotter.XY{X: nodes, Y: full * s.at(values, nodes) / bound})
+	for _, nodes := range []float64{plannedNodes, targetNodes} {
+		points = append(points, plotter.XY{X: nodes, Y: hundredPercent * s.extrapolate(values, nodes) / bound})
 	}
 	return points
 }
--- a/tools/measure/process.go
+++ b/tools/measure/process.go
@@ -24,15 +24,15 @@
 	return float64(m.HeapAlloc)
 }
 
-// perCall returns the nanoseconds that a call takes on average, over a time that is long enough to tell.
-func perCall(call func()) float64 {
-	const enough = 50 * time.Millisecond
+// nanosecondsPerCall returns the mean duration of a call, measured over at least minDuration.
+func nanosecondsPerCall(call func()) float64 {
+	const minDuration = 50 * time.Millisecond
 	for n := 16; ; n *= 2 {
-		begun := time.Now()
+		start := time.Now()
 		for range n {
 			call()
 		}
-		if took := time.Since(begun); took > enough {
+		if took := time.Since(start); took > minDuration {
 			return float64(took.Nanoseconds()) / float64(n)
 		}
 	}
--- a/tools/measure/run.go
+++ b/tools/measure/run.go
@@ -6,18 +6,18 @@
 	"io"
 )
 
-// Run carries out all measurements and tells progress to w.
+// Run runs all measurements and reports progress to w.
 func Run(ctx context.Context, w io.Writer) (*Report, error) {
 	report := &Report{}
-	for _, one := range []func(context.Context) Series{
+	for _, measure := range []func(context.Context) Series{
 		tokenTime, sessionMemory, journalBytes, journalTime, journalMemory, placementTime, policyTime, configurationMemory,
 	} {
-		report.add(w, one(ctx))
+		report.add(w, measure(ctx))
 	}
-	for _, several := range []func(context.Context) ([]Series, error){
-		changeBytes, claimWrites,
+	for _, measure := range []func(context.Context) ([]Series, error){
+		changeReadBytes, claimWrites,
 	} {
-		list, err := several(ctx)
+		list, err := measure(ctx)
 		if err != nil {
 			return nil, err
 		}
--- a/tools/measure/series.go
+++ b/tools/measure/series.go
@@ -7,13 +7,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measured size and what it cost.
+// Point is the cost measured at one size.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Series is a cost over at least three sizes, with a line fitted to it.
+// Series is a cost measured at three or more sizes, with a line fitted to it.
 type Series struct {
 	Name      string  `json:"name"`
 	X         string  `json:"x"` // what the size counts
@@ -21,17 +21,17 @@
 	Points    []Point `json:"points"`
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	R2        float64 `json:"r2"`     // share of the spread that the line explains
+	R2        float64 `json:"r2"`     // coefficient of determination: the share of the variance that the line explains
 	Spread    float64 `json:"spread"` // largest distance from the line, relative to the largest cost
 }
 
-// fit lays a line through the points.
+// fit fits a line to the points.
 func (s *Series) fit() {
 	xs, ys := make([]float64, len(s.Points)), make([]float64, len(s.Points))
-	top := 0.0
+	maxCost := 0.0
 	for i, p := range s.Points {
 		xs[i], ys[i] = p.X, p.Y
-		top = max(top, math.Abs(p.Y))
+		maxCost = max(maxCost, math.Abs(p.Y))
 	}
 	s.Intercept, s.Slope = stat.LinearRegression(xs, ys, nil, false)
 	s.R2 = stat.RSquared(xs, ys, nil, s.Intercept, s.Slope)
@@ -39,38 +39,38 @@
 		s.R2 = 0
 	}
 	for _, p := range s.Points {
-		s.Spread = max(s.Spread, math.Abs(p.Y-s.At(p.X))/cmp.Or(top, 1))
+		s.Spread = max(s.Spread, math.Abs(p.Y-s.At(p.X))/cmp.Or(maxCost, 1))
 	}
-	s.round()
+	s.roundValues()
 }
 
-// significant is the number of figures that are kept.
-const significant = 4
+// significantDigits is the number of digits that values are rounded to.
+const significantDigits = 4
 
-func (s *Series) round() {
+func (s *Series) roundValues() {
 	for i := range s.Points {
-		s.Points[i].Y = rounded(s.Points[i].Y)
+		s.Points[i].Y = roundSignificant(s.Points[i].Y)
 	}
-	s.Intercept, s.Slope, s.R2, s.Spread = rounded(s.Intercept), rounded(s.Slope), rounded(s.R2), rounded(s.Spread)
+	s.Intercept, s.Slope, s.R2, s.Spread = roundSignificant(s.Intercept), roundSignificant(s.Slope), roundSignificant(s.R2), roundSignificant(s.Spread)
 }
 
-func rounded(v float64) float64 {
+func roundSignificant(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
-	scale := math.Pow(10, significant-math.Ceil(math.Log10(math.Abs(v))))
+	scale := math.Pow(10, significantDigits-math.Ceil(math.Log10(math.Abs(v))))
 	return math.Round(v*scale) / scale
 }
 
-// At returns the cost that the line gives for a size.
+// At returns the cost that the line predicts for a size.
 func (s *Series) At(x float64) float64 { return s.Intercept + s.Slope*x }
 
-// Report is what one run of all measurements gave.
+// Report holds the results of one run of all measurements.
 type Report struct {
 	Series []Series `json:"series"`
 }
 
-// Find returns the series of a name.
+// Find returns the series with the given name, or an empty one.
 func (r *Report) Find(name string) *Series {
 	for i := range r.Series {
 		if r.Series[i].Name == name {
--- a/tools/measure/sweep.go
+++ b/tools/measure/sweep.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Sweep is what the users' bench measured of one day at several numbers of nodes, with engines in proportion.
+// Sweep holds the figures that the users' benchmark measured on one day at several numbers of nodes, with engines in proportion.
 type Sweep struct {
 	Commit  string        `json:"commit"`
 	Sizes   []float64     `json:"sizes"` // nodes
 	Figures []SweepFigure `json:"figures"`
 }
 
-// SweepFigure is one figure of a node at each of the sizes.
+// SweepFigure is one figure of a node, measured at each of the sizes.
 type SweepFigure struct {
 	Name      string    `json:"name"`
 	Unit      string    `json:"unit"`
@@ -23,14 +23,14 @@
 	Mechanism string    `json:"mechanism"`
 }
 
-// Sizes that the page carries the figures on to.
+// Numbers of nodes that the page extrapolates the figures to.
 const (
-	letterNodes = 410  // of the users' first letter
-	targetNodes = 1043 // of the largest deployment's own target
+	plannedNodes = 410  // expected by the users within two years
+	targetNodes  = 1043 // target of the largest deployment
 )
 
-// Power returns to which power of the nodes a row of figures grows, by a line through their logarithms; 0 where it does not grow.
-func Power(sizes, values []float64) float64 {
+// GrowthExponent returns the power of the number of nodes with which values grow, by linear regression of their logarithms; 0 if they do not grow.
+func GrowthExponent(sizes, values []float64) float64 {
 	n := float64(len(sizes))
 	var sumX, sumY, sumXX, sumXY float64
 	for i, size := range sizes {
@@ -40,31 +40,31 @@
 	return max((n*sumXY-sumX*sumY)/(n*sumXX-sumX*sumX), 0)
 }
 
-// at carries a row of figures on to a number of nodes.
-func (s *Sweep) at(values []float64, nodes float64) float64 {
+// extrapolate extrapolates a row of values to a number of nodes.
+func (s *Sweep) extrapolate(values []float64, nodes float64) float64 {
 	last := len(s.Sizes) - 1
-	return values[last] * math.Pow(nodes/s.Sizes[last], Power(s.Sizes, values))
+	return values[last] * math.Pow(nodes/s.Sizes[last], GrowthExponent(s.Sizes, values))
 }
 
-// Table returns the table of the sweep in docs/CAPACITY.md: middle and busiest node.
+// Table returns the sweep's table for docs/CAPACITY.md, with the figures of the middle and the busiest node.
 func (s *Sweep) Table() string {
 	var b strings.Builder
 	b.WriteString("| figure of a node, middle and busiest | unit |")
 	for _, size := range s.Sizes {
 		fmt.Fprintf(&b, " %g |", size)
 	}
-	fmt.Fprintf(&b, " power of the busiest | %d | %d | bound | mechanism |\n", letterNodes, targetNodes)
+	fmt.Fprintf(&b, " power of the busiest | %d | %d | bound | mechanism |\n", plannedNodes, targetNodes)
 	b.WriteString(strings.Repeat("| --- ", len(s.Sizes)+7) + "|\n")
 	for _, f := range s.Figures {
 		fmt.Fprintf(&b, "| %s | %s |", f.Name, f.Unit)
 		for i := range s.Sizes {
 			fmt.Fprintf(&b, " %.3g, %.3g |", f.Middle[i], f.Busiest[i])
 		}
-		fmt.Fprintf(&b, " %.2f |", Power(s.Sizes, f.Busiest))
-		for _, nodes := range []float64{letterNodes, targetNodes} {
-			fmt.Fprintf(&b, " %s, %s |", mark(s.at(f.Middle, nodes), f.Bound), mark(s.at(f.Busiest, nodes), f.Bound))
+		fmt.Fprintf(&b, " %.2f |", GrowthExponent(s.Sizes, f.Busiest))
+		for _, nodes := range []float64{plannedNodes, targetNodes} {
+			fmt.Fprintf(&b, " %s, %s |", formatFigure(s.extrapolate(f.Middle, nodes), f.Bound), formatFigure(s.extrapolate(f.Busiest, nodes), f.Bound))
 		}
-		fmt.Fprintf(&b, " %s | %s |\n", boundText(f.Bound), f.Mechanism)
+		fmt.Fprintf(&b, " %s | %s |\n", formatBound(f.Bound), f.Mechanism)
 	}
 	return b.String()
 }
