--- a/cmd/vaneyoke/demo.go
+++ b/cmd/vaneyoke/demo.go
@@ -56,7 +56,7 @@
 		Nodes: demoNodes, Engines: demoEngines, Services: demoServices,
 		Engine:   standin.DefaultEngineConfig(),
 		Recovery: vaneyoke.RecoverFast,
-		Log:      io.Discard, LogLevel: "info", Trace: "off",
+		Log:      io.Discard, LogLevel: "info", TraceOutput: "off",
 	})
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 }
 
 // take shows a piece of the answer, and kills the engine in the middle.
-func (d *demo) take(piece client.Piece) {
+func (d *demo) take(piece client.Chunk) {
 	now := time.Now()
 	if !d.last.IsZero() {
 		d.longest = max(d.longest, now.Sub(d.last))
@@ -106,7 +106,7 @@
 	d.last = now
 	d.text.WriteString(piece.Text)
 	fmt.Fprint(d.out, piece.Text)
-	if engine := d.fleet.Engine(); !d.killed && engine != nil && d.text.Len() > demoTokens*demoKillAt*tokenBytes {
+	if engine := d.fleet.BusyEngine(); !d.killed && engine != nil && d.text.Len() > demoTokens*demoKillAt*tokenBytes {
 		fmt.Fprint(d.out, " [engine killed] ")
 		engine.Kill(nil)
 		d.killed = true
@@ -127,8 +127,8 @@
 	}
 	var decoded, prefilled int64
 	for _, e := range d.fleet.Engines {
-		decoded += e.Stats().Decode
-		prefilled += e.Stats().Prefill
+		decoded += e.Stats().DecodedTokens
+		prefilled += e.Stats().PrefillTokens
 	}
 	fmt.Fprintf(d.out, "\n\ntokens            %d, each in its place\n", report.Tokens)
 	fmt.Fprintf(d.out, "seam              at token %d\n", report.Seams[0])
--- a/cmd/vaneyoke/dev.go
+++ b/cmd/vaneyoke/dev.go
@@ -28,7 +28,7 @@
 			&cli.IntFlag{Name: "engines", Value: 4, Usage: "number of stand-in engines", Validator: atLeast(1)},
 			&cli.IntFlag{Name: "services", Value: 1, Usage: "number of stand-in services", Validator: atLeast(0)},
 			&cli.IntFlag{Name: "port", Usage: "first port of the nodes, 0 for any", Validator: atLeast(0)},
-			&cli.DurationFlag{Name: "gap", Value: standin.DefaultEngineConfig().Gap, Usage: "time between an engine's tokens"},
+			&cli.DurationFlag{Name: "gap", Value: standin.DefaultEngineConfig().TokenInterval, Usage: "time between an engine's tokens"},
 			&cli.StringFlag{Name: "recovery", Value: string(vaneyoke.RecoverFast), Usage: "recovery of the workspace: fast or frugal", Validator: checkRecovery},
 			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warning or error"},
 			&cli.StringFlag{Name: "trace", Value: "off", Usage: "off, stdout or the path of a file"},
@@ -74,18 +74,18 @@
 
 func runDev(ctx context.Context, cmd *cli.Command) error {
 	config := fleet.Config{
-		Nodes:    cmd.Int("nodes"),
-		Engines:  cmd.Int("engines"),
-		Services: cmd.Int("services"),
-		Port:     cmd.Int("port"),
-		Engine:   standin.DefaultEngineConfig(),
-		Recovery: vaneyoke.Recovery(cmd.String("recovery")),
-		Log:      os.Stderr,
-		LogLevel: cmd.String("log-level"),
-		Trace:    cmd.String("trace"),
-		Adjust:   func(s *settings.Settings) { s.Node.Grace = devGrace },
+		Nodes:          cmd.Int("nodes"),
+		Engines:        cmd.Int("engines"),
+		Services:       cmd.Int("services"),
+		FirstPort:      cmd.Int("port"),
+		Engine:         standin.DefaultEngineConfig(),
+		Recovery:       vaneyoke.Recovery(cmd.String("recovery")),
+		Log:            os.Stderr,
+		LogLevel:       cmd.String("log-level"),
+		TraceOutput:    cmd.String("trace"),
+		AdjustSettings: func(s *settings.Settings) { s.Node.Grace = devGrace },
 	}
-	config.Engine.Gap = cmd.Duration("gap")
+	config.Engine.TokenInterval = cmd.Duration("gap")
 	f, err := fleet.Start(ctx, config)
 	if err != nil {
 		return err
--- a/cmd/vaneyoke/load.go
+++ b/cmd/vaneyoke/load.go
@@ -25,7 +25,7 @@
 			&cli.StringFlag{Name: "file", Usage: "INI `FILE` with the load; flags go before it"},
 			&cli.FloatFlag{Name: "rate", Value: defaults.Rate, Usage: "requests a second"},
 			&cli.DurationFlag{Name: "duration", Value: defaults.Duration, Usage: "time of the arrivals"},
-			&cli.IntFlag{Name: "open", Value: defaults.Open, Usage: "most requests at once", Validator: atLeast(1)},
+			&cli.IntFlag{Name: "open", Value: defaults.MaxOpen, Usage: "most requests at once", Validator: atLeast(1)},
 			&cli.Uint64Flag{Name: "seed", Value: defaults.Seed, Usage: "seed of arrivals and mix"},
 			&cli.StringSliceFlag{Name: "fault", Usage: "fault; may be given several times"},
 			&cli.StringSliceFlag{Name: "url", Usage: "address of a node; may be given several times"},
@@ -33,7 +33,7 @@
 			&cli.StringSliceFlag{Name: "target", Usage: "NAME=URL of a stand-in that faults may name, with --url"},
 			&cli.IntFlag{Name: "nodes", Value: 3, Usage: "nodes of the fleet in this process", Validator: atLeast(1)},
 			&cli.IntFlag{Name: "engines", Value: 4, Usage: "engines of the fleet in this process", Validator: atLeast(1)},
-			&cli.DurationFlag{Name: "gap", Value: standin.DefaultEngineConfig().Gap, Usage: "time between an engine's tokens in this process"},
+			&cli.DurationFlag{Name: "gap", Value: standin.DefaultEngineConfig().TokenInterval, Usage: "time between an engine's tokens in this process"},
 			&cli.StringFlag{Name: "recovery", Value: string(vaneyoke.RecoverFast), Usage: "recovery of the workspace in this process: fast or frugal", Validator: checkRecovery},
 			&cli.StringFlag{Name: "log-level", Value: "error", Usage: "of the nodes in this process"},
 			&cli.BoolFlag{Name: "json", Usage: "print the result as JSON"},
@@ -85,7 +85,7 @@
 		config.Duration = cmd.Duration("duration")
 	}
 	if cmd.IsSet("open") {
-		config.Open = cmd.Int("open")
+		config.MaxOpen = cmd.Int("open")
 	}
 	if cmd.IsSet("seed") {
 		config.Seed = cmd.Uint64("seed")
@@ -114,11 +114,11 @@
 		return remote, func() {}, nil
 	}
 	engine := standin.DefaultEngineConfig()
-	engine.Gap = cmd.Duration("gap")
+	engine.TokenInterval = cmd.Duration("gap")
 	f, err := fleet.Start(ctx, fleet.Config{
 		Nodes: cmd.Int("nodes"), Engines: cmd.Int("engines"), Services: 1,
 		Engine: engine, Recovery: vaneyoke.Recovery(cmd.String("recovery")),
-		Log: os.Stderr, LogLevel: cmd.String("log-level"), Trace: "off",
+		Log: os.Stderr, LogLevel: cmd.String("log-level"), TraceOutput: "off",
 	})
 	if err != nil {
 		return nil, nil, err
--- a/cmd/vaneyoke/main_test.go
+++ b/cmd/vaneyoke/main_test.go
@@ -63,8 +63,8 @@
 // TestOperatorsCommands goes through the commands of an operator against a fleet.
 func TestOperatorsCommands(t *testing.T) {
 	f, err := fleet.Start(t.Context(), fleet.Config{
-		Nodes: 2, Engines: 2, Members: true, Engine: standin.DefaultEngineConfig(), Recovery: vaneyoke.RecoverFast,
-		Log: io.Discard, LogLevel: "error", Trace: "off",
+		Nodes: 2, Engines: 2, RegisterMembers: true, Engine: standin.DefaultEngineConfig(), Recovery: vaneyoke.RecoverFast,
+		Log: io.Discard, LogLevel: "error", TraceOutput: "off",
 	})
 	must.NoError(t, err)
 	defer f.Close()
--- a/decide/generation/model_test.go
+++ b/decide/generation/model_test.go
@@ -172,7 +172,7 @@
 	inspect := m.inspects[0]
 	m.inspects = m.inspects[1:]
 	buffered := vaneyoke.Tokens(0)
-	if check.Opens(inspect.IDs[len(inspect.IDs)-1]) {
+	if check.EndsMidCharacter(inspect.IDs[len(inspect.IDs)-1]) {
 		buffered = 1
 	}
 	return m.handle(generation.TailInspected{Attempt: inspect.Attempt, Buffered: buffered})
@@ -214,10 +214,10 @@
 // text returns what an engine's detokenizer returns for a batch: an incomplete character is buffered until the next.
 func (s *stream) text(from, end int) []byte {
 	start := from
-	if from > 0 && check.Opens(s.tokens[from-1]) {
+	if from > 0 && check.EndsMidCharacter(s.tokens[from-1]) {
 		start--
 	}
-	if check.Opens(s.tokens[end-1]) {
+	if check.EndsMidCharacter(s.tokens[end-1]) {
 		end--
 	}
 	var text []byte
@@ -238,13 +238,13 @@
 func (m *model) newStream(prefix []vaneyoke.TokenID, base vaneyoke.Tokens) *stream {
 	s := &stream{prefix: prefix, base: base, sent: true}
 	m.salt++
-	length, count, _ := check.Length(prefix)
-	chain, last := check.ChainOf(prefix), prefix[len(prefix)-1]
-	for count < length || check.Opens(last) {
+	length, count, _ := check.AnswerLength(prefix)
+	chain, last := check.HashPrefix(prefix), prefix[len(prefix)-1]
+	for count < length || check.EndsMidCharacter(last) {
 		if m.config.MaxTokens > 0 && count >= m.config.MaxTokens {
 			break
 		}
-		last = check.Next(chain, last, m.salt)
+		last = check.NextToken(chain, last, m.salt)
 		chain = chain.Append(last)
 		s.tokens = append(s.tokens, last)
 		count++
@@ -316,7 +316,7 @@
 		return err
 	}
 	shown := t.Len()
-	if shown > 0 && check.Opens(t.IDs[shown-1]) {
+	if shown > 0 && check.EndsMidCharacter(t.IDs[shown-1]) {
 		shown-- // the engine still buffers its text
 	}
 	if report.Tokens != shown {
@@ -340,7 +340,7 @@
 	if limit := m.config.MaxTokens; limit > 0 && got > limit {
 		return fmt.Errorf("the answer has %d tokens, the limit is %d", got, limit)
 	}
-	length, _, _ := check.Length(m.prompt)
+	length, _, _ := check.AnswerLength(m.prompt)
 	if got < length && m.finish.Reason != vaneyoke.FinishLength {
 		return fmt.Errorf("the answer ended at %d of %d tokens with finish reason %s", got, len(want.tokens), m.finish.Reason)
 	}
--- a/tools/check/answer.go
+++ b/tools/check/answer.go
@@ -8,51 +8,51 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Report describes an answer whose tokens were all in their place.
+// Report describes a checked answer.
 type Report struct {
 	Tokens vaneyoke.Tokens
-	Seams  []vaneyoke.Tokens // indexes at which another attempt went on
+	Seams  []vaneyoke.Tokens // token indexes at which another attempt continued the answer
 }
 
-// ViolationError says where an answer breaks a promise.
+// ViolationError reports the first token at which an answer is wrong.
 type ViolationError struct {
-	Index  vaneyoke.Tokens // of the first wrong token
+	Index  vaneyoke.Tokens // index of the first wrong token
 	Reason string
 }
 
-// Error returns the place and the reason.
+// Error returns the token index and the reason.
 func (e *ViolationError) Error() string { return fmt.Sprintf("token %d: %s", e.Index, e.Reason) }
 
-// Answer reads the text of an answer to a prompt; an error is a ViolationError.
+// Answer checks the text of an answer to a prompt. Every error that it returns is a *ViolationError.
 func Answer(prompt []vaneyoke.TokenID, text string) (Report, error) {
 	var report Report
-	chain := ChainOf(prompt)
+	prefix := HashPrefix(prompt)
 	var last vaneyoke.TokenID
 	salt := -1
 	for text != "" {
-		id, rest, ok := cutToken(text, Opens(last))
+		id, rest, ok := cutToken(text, EndsMidCharacter(last))
 		if !ok {
 			return report, &ViolationError{Index: report.Tokens, Reason: fmt.Sprintf("text %.20q is no token", text)}
 		}
 		tokenSalt := Salt(id >> saltShift)
-		if want := Next(chain, last, tokenSalt); id != want {
+		if want := NextToken(prefix, last, tokenSalt); id != want {
 			return report, &ViolationError{Index: report.Tokens, Reason: fmt.Sprintf("token %x does not follow its prefix", id)}
 		}
 		if salt >= 0 && int(tokenSalt) != salt {
 			report.Seams = append(report.Seams, report.Tokens)
 		}
 		salt, last, text = int(tokenSalt), id, rest
-		chain = chain.Append(id)
+		prefix = prefix.Append(id)
 		report.Tokens++
 	}
-	if Opens(last) {
+	if EndsMidCharacter(last) {
 		return report, &ViolationError{Index: report.Tokens, Reason: "the answer ends within a character"}
 	}
 	return report, nil
 }
 
-// cutToken reads the next token; the first half of a split character was read with the token before.
-func cutToken(text string, within bool) (id vaneyoke.TokenID, rest string, ok bool) {
+// cutToken splits the next token off the text. With midChar, the token begins within a character, whose bytes were read with the previous token.
+func cutToken(text string, midChar bool) (id vaneyoke.TokenID, rest string, ok bool) {
 	if len(text) <= hexDigits {
 		return 0, "", false
 	}
@@ -60,16 +60,16 @@
 	if err != nil {
 		return 0, "", false
 	}
-	id = vaneyoke.TokenID(generatedMark | int(value))
-	if within {
-		id |= closeMark
+	id = vaneyoke.TokenID(generatedBit | int(value))
+	if midChar {
+		id |= startsMidCharBit
 	}
 	rest = text[hexDigits:]
 	if after, ok := strings.CutPrefix(rest, " "); ok {
 		return id, after, true
 	}
-	if after, ok := strings.CutPrefix(rest, splitChar); ok && !within {
-		return id | openMark, after, true
+	if after, ok := strings.CutPrefix(rest, splitChar); ok && !midChar {
+		return id | endsMidCharBit, after, true
 	}
 	return 0, "", false
 }
--- a/tools/check/doc.go
+++ b/tools/check/doc.go
@@ -1,4 +1,4 @@
-// Package check tells from the text of an answer alone whether a token is missing, repeated, crossed or mixed.
+// Package check verifies an answer from its text alone: it detects tokens that are missing, repeated, out of order or from another run.
 //
-// The stand-in engines make each token a function of the exact prefix and of a salt that is fresh for each attempt, so a token that follows another prefix than its own is found.
+// The stand-in engines compute each token from the exact prefix and from a salt that differs between attempts. A token that follows any other prefix is therefore detected.
 package check
--- a/tools/check/token.go
+++ b/tools/check/token.go
@@ -8,70 +8,70 @@
 	"github.com/vaneyoke/vaneyoke"
 )
 
-// Layout of a generated token's id: a mark, a salt and a digest of the prefix.
+// Layout of a generated token's id: flag bits, the attempt's salt and a digest of the prefix.
 const (
-	generatedMark = 1 << 30
-	openMark      = 1 << 29 // the token's text ends within a character
-	closeMark     = 1 << 28 // the token's text begins within a character
-	saltShift     = 20
-	saltBits      = 8
-	digestMask    = 1<<saltShift - 1
-	lengthMark    = 1 << 24 // prompt tokens that tell the answer's length
-	promptMask    = lengthMark - 1
-	openEvery     = 8 // one token in so many ends within a character
-	hexDigits     = 7
-	splitChar     = "é"
+	generatedBit     = 1 << 30
+	endsMidCharBit   = 1 << 29 // the token's text ends within a character
+	startsMidCharBit = 1 << 28 // the token's text begins within a character
+	saltShift        = 20
+	saltBits         = 8
+	digestMask       = 1<<saltShift - 1
+	lengthBit        = 1 << 24 // set in a prompt token that gives the length of the answer
+	promptMask       = lengthBit - 1
+	splitEvery       = 8 // one token in splitEvery ends within a character
+	hexDigits        = 7
+	splitChar        = "é"
 )
 
-// lengthWord begins a prompt word that tells after how many tokens the answer ends by itself.
-const lengthWord = "length="
+// lengthPrefix starts a prompt word that sets after how many tokens the answer ends by itself.
+const lengthPrefix = "length="
 
-// Salt is what tells the tokens of one attempt from those of another.
+// Salt distinguishes the tokens of one attempt from those of another.
 type Salt uint8
 
-// Chain is the digest of a prefix of token ids.
-type Chain uint64
+// PrefixHash is the hash of a prefix of token ids.
+type PrefixHash uint64
 
-// Append returns the chain of a prefix that is longer by one token.
-func (c Chain) Append(id vaneyoke.TokenID) Chain {
-	x := uint64(c) ^ uint64(uint32(id))*0x9E3779B97F4A7C15
+// Append returns the hash of the prefix followed by one more token.
+func (h PrefixHash) Append(id vaneyoke.TokenID) PrefixHash {
+	x := uint64(h) ^ uint64(uint32(id))*0x9E3779B97F4A7C15
 	x ^= x >> 29
 	x *= 0xBF58476D1CE4E5B9
 	x ^= x >> 32
-	return Chain(x)
+	return PrefixHash(x)
 }
 
-// ChainOf returns the chain of a prefix.
-func ChainOf(ids []vaneyoke.TokenID) Chain {
-	var c Chain
+// HashPrefix returns the hash of a prefix.
+func HashPrefix(ids []vaneyoke.TokenID) PrefixHash {
+	var h PrefixHash
 	for _, id := range ids {
-		c = c.Append(id)
+		h = h.Append(id)
 	}
-	return c
+	return h
 }
 
-// Next returns the token that an attempt with the given salt generates after a prefix that ends with the token last.
-func Next(c Chain, last vaneyoke.TokenID, salt Salt) vaneyoke.TokenID {
-	digest := uint64(c.Append(vaneyoke.TokenID(salt))) & digestMask
-	id := generatedMark | int(salt)<<saltShift | int(digest)
+// NextToken returns the token that an attempt with the given salt generates after a prefix whose last token is last.
+func NextToken(prefix PrefixHash, last vaneyoke.TokenID, salt Salt) vaneyoke.TokenID {
+	digest := uint64(prefix.Append(vaneyoke.TokenID(salt))) & digestMask
+	id := generatedBit | int(salt)<<saltShift | int(digest)
 	switch {
-	case Opens(last):
-		id |= closeMark
-	case digest%openEvery == 0:
-		id |= openMark
+	case EndsMidCharacter(last):
+		id |= startsMidCharBit
+	case digest%splitEvery == 0:
+		id |= endsMidCharBit
 	}
 	return vaneyoke.TokenID(id)
 }
 
-// Generated reports whether an id is that of a generated token.
-func Generated(id vaneyoke.TokenID) bool { return id&generatedMark != 0 }
+// IsGenerated reports whether an id belongs to a generated token, and not to a prompt token.
+func IsGenerated(id vaneyoke.TokenID) bool { return id&generatedBit != 0 }
 
-// Opens reports whether a token's text ends within a character.
-func Opens(id vaneyoke.TokenID) bool { return Generated(id) && id&openMark != 0 }
+// EndsMidCharacter reports whether a token's text ends within a character.
+func EndsMidCharacter(id vaneyoke.TokenID) bool { return IsGenerated(id) && id&endsMidCharBit != 0 }
 
-// AppendText appends the bytes that a generated token stands for.
+// AppendText appends the text of a generated token.
 func AppendText(buf []byte, id vaneyoke.TokenID) []byte {
-	if id&closeMark != 0 {
+	if id&startsMidCharBit != 0 {
 		buf = append(buf, splitChar[1:]...)
 	}
 	digits := strconv.FormatUint(uint64(id)&(1<<(saltShift+saltBits)-1), 16)
@@ -79,13 +79,13 @@
 		buf = append(buf, '0')
 	}
 	buf = append(buf, digits...)
-	if id&openMark != 0 {
+	if id&endsMidCharBit != 0 {
 		return append(buf, splitChar[0])
 	}
 	return append(buf, ' ')
 }
 
-// Tokenize returns the ids of a prompt's words.
+// Tokenize returns the token ids of a prompt, one for each word.
 func Tokenize(prompt string) []vaneyoke.TokenID {
 	var ids []vaneyoke.TokenID
 	for word := range strings.FieldsSeq(prompt) {
@@ -95,9 +95,9 @@
 }
 
 func wordID(word string) vaneyoke.TokenID {
-	if digits, ok := strings.CutPrefix(word, lengthWord); ok {
+	if digits, ok := strings.CutPrefix(word, lengthPrefix); ok {
 		if n, err := strconv.Atoi(digits); err == nil {
-			return vaneyoke.TokenID(lengthMark | n&promptMask)
+			return vaneyoke.TokenID(lengthBit | n&promptMask)
 		}
 	}
 	h := fnv.New32a()
@@ -105,15 +105,15 @@
 	return vaneyoke.TokenID(h.Sum32() & promptMask)
 }
 
-// Length returns after how many generated tokens an answer to the prefix ends by itself, and how many the prefix holds already.
-func Length(prefix []vaneyoke.TokenID) (length, held vaneyoke.Tokens, ok bool) {
+// AnswerLength returns after how many generated tokens an answer to the prefix ends by itself, and how many generated tokens the prefix contains already. ok is false if the prompt sets no length.
+func AnswerLength(prefix []vaneyoke.TokenID) (length, generated vaneyoke.Tokens, ok bool) {
 	for _, id := range prefix {
 		switch {
-		case Generated(id):
-			held++
-		case id&lengthMark != 0:
+		case IsGenerated(id):
+			generated++
+		case id&lengthBit != 0:
 			length, ok = vaneyoke.Tokens(id&promptMask), true
 		}
 	}
-	return length, held, ok
+	return length, generated, ok
 }
--- a/tools/client/client.go
+++ b/tools/client/client.go
@@ -19,12 +19,12 @@
 	key  string
 }
 
-// New returns a client of the node at url that shows the given key.
+// New returns a client of the node at url that authenticates with the given API key.
 func New(client *http.Client, url, key string) *Client {
 	return &Client{http: client, url: url, key: key}
 }
 
-// Request is a generation as a caller asks for it.
+// Request is the body of a chat completion request.
 type Request struct {
 	Model     vaneyoke.ModelID `json:"model"`
 	Messages  []openai.Message `json:"messages"`
@@ -33,18 +33,18 @@
 	Stream    bool             `json:"stream"`
 }
 
-// FailedError is a node's answer that tells of a failure.
+// FailedError is an error answer of a node, or an error event within a stream.
 type FailedError struct {
 	Status int
 	Detail callerapi.ErrorDetail
 }
 
-// Error returns the result code and the message.
+// Error returns the result code, its name and the message.
 func (e *FailedError) Error() string {
 	return e.Detail.Code + " " + e.Detail.Type + ": " + e.Detail.Message
 }
 
-// Generate starts a streamed chat; header may add headers of its own.
+// Generate starts a streamed chat completion; header holds additional request headers.
 func (c *Client) Generate(ctx context.Context, req Request, header http.Header) (*Stream, error) {
 	req.Stream = true
 	body, err := json.Marshal(req)
@@ -58,9 +58,9 @@
 	return newStream(res), nil
 }
 
-// Call calls a plain service and returns its answer.
-func (c *Client) Call(ctx context.Context, service vaneyoke.ServiceID, call string, body []byte, header http.Header) ([]byte, error) {
-	res, err := c.post(ctx, "/v1/services/"+string(service)+"/"+call, body, header)
+// Call calls a method of a plain service and returns the body of its answer.
+func (c *Client) Call(ctx context.Context, service vaneyoke.ServiceID, method string, body []byte, header http.Header) ([]byte, error) {
+	res, err := c.post(ctx, "/v1/services/"+string(service)+"/"+method, body, header)
 	if err != nil {
 		return nil, err
 	}
--- a/tools/client/doc.go
+++ b/tools/client/doc.go
@@ -1,2 +1,2 @@
-// Package client is a caller of a node: it sends generations and calls, and reads streamed answers.
+// Package client is an HTTP client of a node's caller API: it sends generations and service calls, and reads streamed answers.
 package client
--- a/tools/client/stream.go
+++ b/tools/client/stream.go
@@ -19,16 +19,16 @@
 )
 
 var (
-	fieldData = []byte("data: ")
-	fieldID   = []byte("id: ")
-	endOfData = []byte("[DONE]")
+	fieldData  = []byte("data: ")
+	fieldID    = []byte("id: ")
+	doneMarker = []byte("[DONE]")
 )
 
-// Piece is one event of a streamed answer.
-type Piece struct {
-	Cursor string // the event's id, "" where it has none
+// Chunk is one event of a streamed answer.
+type Chunk struct {
+	Cursor string // id of the event, "" if it has none
 	Text   string
-	Reason vaneyoke.FinishReason // set on the last piece
+	Reason vaneyoke.FinishReason // set in the last chunk
 }
 
 // Stream reads a streamed answer.
@@ -45,13 +45,13 @@
 	return &Stream{body: res.Body, lines: lines, id: res.Header.Get("X-Request-Id")}
 }
 
-// Request returns the id that the node gave the request.
-func (s *Stream) Request() string { return s.id }
+// RequestID returns the id that the node assigned to the request.
+func (s *Stream) RequestID() string { return s.id }
 
-// Close ends the connection.
+// Close closes the body of the answer.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// event is what a caller reads of a chunk.
+// event holds the fields of a chat completion chunk that are read.
 type event struct {
 	Choices []struct {
 		Delta struct {
@@ -62,8 +62,8 @@
 	Failure *callerapi.ErrorDetail `json:"error"`
 }
 
-// Next returns the next piece, io.EOF after the end of the answer, and io.ErrUnexpectedEOF where the stream broke off.
-func (s *Stream) Next() (Piece, error) {
+// Next returns the next chunk, io.EOF after the end of the answer, or io.ErrUnexpectedEOF if the stream ended before that.
+func (s *Stream) Next() (Chunk, error) {
 	for s.lines.Scan() {
 		line := s.lines.Bytes()
 		if id, ok := bytes.CutPrefix(line, fieldID); ok {
@@ -74,42 +74,42 @@
 		if !ok {
 			continue
 		}
-		if bytes.Equal(data, endOfData) {
-			return Piece{}, io.EOF
+		if bytes.Equal(data, doneMarker) {
+			return Chunk{}, io.EOF
 		}
-		return s.piece(data)
+		return s.parseChunk(data)
 	}
 	if err := s.lines.Err(); err != nil {
-		return Piece{}, err
+		return Chunk{}, err
 	}
-	return Piece{}, io.ErrUnexpectedEOF
+	return Chunk{}, io.ErrUnexpectedEOF
 }
 
-// All returns the pieces up to the end of the answer; an error is the last thing that it gives.
-func (s *Stream) All() iter.Seq2[Piece, error] {
-	return func(yield func(Piece, error) bool) {
+// All returns an iterator over the chunks up to the end of the answer; it stops after the first error.
+func (s *Stream) All() iter.Seq2[Chunk, error] {
+	return func(yield func(Chunk, error) bool) {
 		for {
-			piece, err := s.Next()
-			if errors.Is(err, io.EOF) || !yield(piece, err) || err != nil {
+			chunk, err := s.Next()
+			if errors.Is(err, io.EOF) || !yield(chunk, err) || err != nil {
 				return
 			}
 		}
 	}
 }
 
-func (s *Stream) piece(data []byte) (Piece, error) {
+func (s *Stream) parseChunk(data []byte) (Chunk, error) {
 	var e event
 	if err := json.Unmarshal(data, &e); err != nil {
-		return Piece{}, err
+		return Chunk{}, err
 	}
 	if e.Failure != nil {
-		return Piece{}, &FailedError{Status: http.StatusOK, Detail: *e.Failure}
+		return Chunk{}, &FailedError{Status: http.StatusOK, Detail: *e.Failure}
 	}
-	piece := Piece{Cursor: s.cursor}
+	chunk := Chunk{Cursor: s.cursor}
 	s.cursor = ""
 	if len(e.Choices) > 0 {
-		piece.Text = e.Choices[0].Delta.Content
-		piece.Reason = e.Choices[0].FinishReason
+		chunk.Text = e.Choices[0].Delta.Content
+		chunk.Reason = e.Choices[0].FinishReason
 	}
-	return piece, nil
+	return chunk, nil
 }
--- a/tools/fleet/bench_test.go
+++ b/tools/fleet/bench_test.go
@@ -20,24 +20,24 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// startFast starts one node and some engines with the given gap and no prefill.
-func startFast(b *testing.B, engines int, gap time.Duration) *fleet.Fleet {
+// startBenchFleet starts one node, and engines with the given token interval and no prefill time.
+func startBenchFleet(b *testing.B, engines int, gap time.Duration) *fleet.Fleet {
 	b.Helper()
-	config := standin.EngineConfig{Gap: gap, Slots: 4096, Chunk: 1, Orphan: time.Minute}
+	config := standin.EngineConfig{TokenInterval: gap, Slots: 4096, ChunkTokens: 1, OrphanTimeout: time.Minute}
 	f, err := fleet.Start(b.Context(), fleet.Config{
 		Nodes: 1, Engines: engines, Engine: config, Recovery: vaneyoke.RecoverFast,
-		Log: io.Discard, LogLevel: "error", Trace: "off", Adjust: patient,
+		Log: io.Discard, LogLevel: "error", TraceOutput: "off", AdjustSettings: withoutTimeouts,
 	})
 	must.NoError(b, err)
 	b.Cleanup(f.Close)
 	return f
 }
 
-func newHTTP() *http.Client {
+func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}
 }
 
-// arrivals notes when the answer's bytes came.
+// arrivals records when the bytes of an answer arrived.
 type arrivals struct {
 	at    []time.Time
 	bytes []int
@@ -48,8 +48,8 @@
 	a.bytes = append(a.bytes, total)
 }
 
-// when returns the time at which the first so many bytes had come.
-func (a *arrivals) when(bytes int) (time.Time, bool) {
+// timeOf returns the time at which the given number of bytes had arrived.
+func (a *arrivals) timeOf(bytes int) (time.Time, bool) {
 	for i, n := range a.bytes {
 		if n >= bytes {
 			return a.at[i], true
@@ -58,11 +58,11 @@
 	return time.Time{}, false
 }
 
-// BenchmarkAddedLatency reads the same runs through the node and at the engine, token by token in one run.
+// BenchmarkAddedLatency measures the latency that the node adds to each token, by reading the same runs through the node and directly from the engine.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, streams := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(streams), func(b *testing.B) {
-			f := startFast(b, 1, 29*time.Millisecond)
+			f := startBenchFleet(b, 1, 29*time.Millisecond)
 			for b.Loop() {
 				added := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 				var mu sync.Mutex
@@ -73,7 +73,7 @@
 						mu.Lock()
 						defer mu.Unlock()
 						for k, bytes := range direct.bytes {
-							if at, ok := through.when(bytes); ok {
+							if at, ok := through.timeOf(bytes); ok {
 								_ = added.RecordValue(max(at.Sub(direct.at[k]).Microseconds(), 1))
 							}
 						}
@@ -87,21 +87,21 @@
 	}
 }
 
-// readBoth reads one run through the node and directly.
+// readBoth reads one run through the node and directly from the engine.
 func readBoth(b *testing.B, f *fleet.Fleet, i int) (direct, through arrivals) {
-	c := client.New(newHTTP(), f.Nodes[0].URL(), fleet.CallerKey)
+	c := client.New(newHTTPClient(), f.Nodes[0].URL(), fleet.CallerKey)
 	req, _ := prompt(fmt.Sprintf("request %d length=60", i))
 	s, err := c.Generate(b.Context(), req, nil)
 	must.NoError(b, err)
 	var wait sync.WaitGroup
-	wait.Go(func() { direct = readDirect(b.Context(), f.Engines[0].URL(), s.Request()+".1.1") })
+	wait.Go(func() { direct = readDirect(b.Context(), f.Engines[0].URL(), s.RequestID()+".1.1") })
 	total := 0
 	for {
-		piece, err := s.Next()
+		chunk, err := s.Next()
 		if err != nil {
 			break
 		}
-		total += len(piece.Text)
+		total += len(chunk.Text)
 		through.add(total)
 	}
 	wait.Wait()
@@ -110,7 +110,7 @@
 
 func readDirect(ctx context.Context, url, name string) arrivals {
 	var a arrivals
-	client := newHTTP()
+	client := newHTTPClient()
 	s, err := engine.New(client, client).Resume(ctx, url, name, 0, 0)
 	if err != nil {
 		return a
@@ -128,16 +128,16 @@
 	}
 }
 
-// BenchmarkThroughput pushes as many tokens as it can through the sockets of one node; engine and callers share the machine.
+// BenchmarkThroughput measures the maximum token throughput of one node over sockets; engines and callers share the machine.
 func BenchmarkThroughput(b *testing.B) {
 	const streams, tokens = 400, 400
-	f := startFast(b, 2, time.Millisecond)
+	f := startBenchFleet(b, 2, time.Millisecond)
 	for b.Loop() {
 		begun := time.Now()
 		var wait sync.WaitGroup
 		for i := range streams {
 			wait.Go(func() {
-				c := client.New(newHTTP(), f.Nodes[0].URL(), fleet.CallerKey)
+				c := client.New(newHTTPClient(), f.Nodes[0].URL(), fleet.CallerKey)
 				req, _ := prompt(fmt.Sprintf("request %d length=%d", i, tokens))
 				s, err := c.Generate(b.Context(), req, nil)
 				must.NoError(b, err)
@@ -151,11 +151,11 @@
 	}
 }
 
-// BenchmarkResume kills the engine in the middle of an answer and takes the time to the next piece; the engine's own gap is 1 ms.
+// BenchmarkResume measures the time from the kill of an engine during an answer to the next chunk; the engine's token interval is 1 ms.
 func BenchmarkResume(b *testing.B) {
-	f := startFast(b, 8, time.Millisecond)
+	f := startBenchFleet(b, 8, time.Millisecond)
 	latency := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-	c := client.New(newHTTP(), f.Nodes[0].URL(), fleet.CallerKey)
+	c := client.New(newHTTPClient(), f.Nodes[0].URL(), fleet.CallerKey)
 	n := 0
 	for b.Loop() {
 		n++
@@ -163,17 +163,17 @@
 		s, err := c.Generate(b.Context(), req, nil)
 		must.NoError(b, err)
 		var killed time.Time
-		for pieces := 0; ; pieces++ {
+		for chunks := 0; ; chunks++ {
 			_, err := s.Next()
 			if errors.Is(err, io.EOF) {
 				break
 			}
 			must.NoError(b, err)
-			if pieces == 20 {
-				broken := f.Engine()
-				broken.Kill(nil)
+			if chunks == 20 {
+				busy := f.BusyEngine()
+				busy.Kill(nil)
 				killed = time.Now()
-			} else if !killed.IsZero() && pieces == 21 {
+			} else if !killed.IsZero() && chunks == 21 {
 				_ = latency.RecordValue(time.Since(killed).Microseconds())
 			}
 		}
@@ -185,13 +185,13 @@
 	b.ReportMetric(float64(latency.ValueAtQuantile(99)), "us-p99")
 }
 
-// BenchmarkInForce takes the time from a change's submission until it is accepted, and until all nodes have it.
+// BenchmarkInForce measures the time from the submission of a change until it is accepted, and until all nodes have applied it.
 func BenchmarkInForce(b *testing.B) {
 	for _, nodes := range []int{6, 25, 50} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
 			f, err := fleet.Start(b.Context(), fleet.Config{
-				Nodes: nodes, Engines: 1, Members: true, Engine: standin.DefaultEngineConfig(), Recovery: vaneyoke.RecoverFast,
-				Log: io.Discard, LogLevel: "error", Trace: "off",
+				Nodes: nodes, Engines: 1, RegisterMembers: true, Engine: standin.DefaultEngineConfig(), Recovery: vaneyoke.RecoverFast,
+				Log: io.Discard, LogLevel: "error", TraceOutput: "off",
 			})
 			must.NoError(b, err)
 			defer f.Close()
@@ -201,7 +201,7 @@
 			for b.Loop() {
 				n++
 				begun := time.Now()
-				code, body := operate(b, f, n%nodes, submit(fmt.Sprintf("p%d", n), "1s"))
+				code, body := callOperatorAPI(b, f, n%nodes, submitPolicy(fmt.Sprintf("p%d", n), "1s"))
 				must.EqOp(b, "ok", code, must.Sprint(string(body)))
 				_ = accepted.RecordValue(time.Since(begun).Microseconds())
 				newest := f.Nodes[n%nodes].Revision()
--- a/tools/fleet/body_test.go
+++ b/tools/fleet/body_test.go
@@ -16,7 +16,7 @@
 	"github.com/vaneyoke/vaneyoke/tools/fleet"
 )
 
-// TestBodyOverTheLimitIsAnswered has callers and operators send far more than is allowed, whole, before they read the answer.
+// TestBodyOverTheLimitIsAnswered checks that callers and operators get an answer even if they send a far too large body completely before they read.
 func TestBodyOverTheLimitIsAnswered(t *testing.T) {
 	f := start(t, nil)
 	const size = 64 << 20
@@ -33,9 +33,9 @@
 			_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\n"+
 				"Content-Length: %d\r\n\r\n", tc.method, tc.path, tc.key, size)
 			must.NoError(t, err)
-			piece := []byte(strings.Repeat(" ", 1<<20))
-			for range size / len(piece) {
-				_, err = conn.Write(piece)
+			block := []byte(strings.Repeat(" ", 1<<20))
+			for range size / len(block) {
+				_, err = conn.Write(block)
 				must.NoError(t, err)
 			}
 			res, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/tools/fleet/caller_test.go
+++ b/tools/fleet/caller_test.go
@@ -13,12 +13,12 @@
 	"github.com/vaneyoke/vaneyoke/tools/fleet"
 )
 
-// TestVanishedCallerCancelsItsRun bounds what a caller that is gone costs, also where it might come back.
-func TestVanishedCallerCancelsItsRun(t *testing.T) {
+// TestDisconnectedCallerCancelsRun guards against runs that continue for a caller that has disconnected, with and without a key to resume with.
+func TestDisconnectedCallerCancelsRun(t *testing.T) {
 	for name, key := range map[string]string{"without a key": "", "with a key": "key-7"} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, func(c *fleet.Config) {
-				c.Adjust = func(s *settings.Settings) { patient(s); s.Peers.Linger = 100 * time.Millisecond }
+				c.AdjustSettings = func(s *settings.Settings) { withoutTimeouts(s); s.Peers.Linger = 100 * time.Millisecond }
 			})
 			ctx, leave := context.WithCancel(t.Context())
 			req, _ := prompt("an endless catalogue length=100000")
@@ -31,9 +31,9 @@
 			must.NoError(t, err)
 			_, err = s.Next()
 			must.NoError(t, err)
-			must.Zero(t, cancels(f))
+			must.Zero(t, totalCancels(f))
 			leave()
-			for cancels(f) == 0 {
+			for totalCancels(f) == 0 {
 				must.NoError(t, t.Context().Err())
 				time.Sleep(time.Millisecond)
 			}
@@ -41,7 +41,7 @@
 	}
 }
 
-func cancels(f *fleet.Fleet) int {
+func totalCancels(f *fleet.Fleet) int {
 	total := 0
 	for _, e := range f.Engines {
 		total += int(e.Stats().Cancels)
@@ -49,9 +49,9 @@
 	return total
 }
 
-// TestPlannedStopCutsOffNothing stops a node in the middle of an answer.
-func TestPlannedStopCutsOffNothing(t *testing.T) {
-	f := start(t, func(c *fleet.Config) { c.Adjust = patient })
+// TestGracefulStopInterruptsNoAnswer stops a node while it streams an answer.
+func TestGracefulStopInterruptsNoAnswer(t *testing.T) {
+	f := start(t, func(c *fleet.Config) { c.AdjustSettings = withoutTimeouts })
 	c := newCaller(t, f, "key-8")
 	s, err := c.connect(0)
 	must.NoError(t, err)
--- a/tools/fleet/crashing_test.go
+++ b/tools/fleet/crashing_test.go
@@ -14,16 +14,16 @@
 	"github.com/vaneyoke/vaneyoke/tools/fleet"
 )
 
-// A prompt ended each engine that began to run it. The node sent it to up to eight engines, and to as many again each time that its caller
-// asked once more: what was counted stood at the engines and within one request, and nowhere at the prompt.
+// TestPromptThatCrashesEngines guards against a prompt that crashes every engine that starts to run it. A node sent such a prompt to up to eight
+// engines, and again to as many at each retry of its caller, because crashes were counted by engine and within one request, but not by prompt.
 func TestPromptThatCrashesEngines(t *testing.T) {
-	const repeats, innocent, down = 12, 60, 200 * time.Millisecond
+	const repeats, otherRequests, down = 12, 60, 200 * time.Millisecond
 	f := start(t, func(c *fleet.Config) {
 		c.Engines = 8
-		c.Engine.Ends, c.Engine.Down = "end of it", down
+		c.Engine.CrashText, c.Engine.RestartTime = "end of it", down
 	})
 	var work sync.WaitGroup
-	for i := range innocent {
+	for i := range otherRequests {
 		work.Go(func() {
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
 			req, _ := prompt(fmt.Sprint("innocent ", i))
@@ -50,10 +50,10 @@
 		crashes += e.Stats().Crashes
 	}
 	t.Logf("%d crashes, answers %v", crashes, statuses)
-	must.Between(t, 3, crashes, 2*3) // each node counts for itself
+	must.Between(t, 3, crashes, 2*3) // each node counts crashes on its own
 }
 
-// statusOf returns the status of an answer that failed, 0 for none.
+// statusOf returns the HTTP status of an error answer, or 0 for another error.
 func statusOf(err error) int {
 	if failed, ok := errors.AsType[*client.FailedError](err); ok {
 		return failed.Status
--- a/tools/fleet/doc.go
+++ b/tools/fleet/doc.go
@@ -1,2 +1,2 @@
-// Package fleet runs nodes and stand-ins in one process, for the demonstration, for development and for tests.
+// Package fleet runs nodes and stand-ins in one process, for the demo, for development and for tests.
 package fleet
--- a/tools/fleet/failover_test.go
+++ b/tools/fleet/failover_test.go
@@ -17,16 +17,16 @@
 
 const answerTokens = 120
 
-// caller reads one answer over several connections.
+// caller reads one answer over several connections, as a caller that resumes it.
 type caller struct {
-	t      *testing.T
-	fleet  *fleet.Fleet
-	req    client.Request
-	key    string
-	text   strings.Builder
-	cursor string
-	ids    []vaneyoke.TokenID
-	once   bool // whether the request is marked as one that may run at most once
+	t          *testing.T
+	fleet      *fleet.Fleet
+	req        client.Request
+	key        string
+	text       strings.Builder
+	cursor     string
+	ids        []vaneyoke.TokenID
+	atMostOnce bool // marks the request as not repeatable
 }
 
 func newCaller(t *testing.T, f *fleet.Fleet, key string) *caller {
@@ -36,7 +36,7 @@
 
 func (c *caller) header() http.Header {
 	header := http.Header{"Idempotency-Key": {c.key}}
-	if c.once {
+	if c.atMostOnce {
 		header.Set("Vaneyoke-Repeatable", "false")
 	}
 	if c.cursor != "" {
@@ -49,22 +49,22 @@
 	return client.New(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, c.fleet.Nodes[node].URL(), fleet.CallerKey).Generate(c.t.Context(), c.req, c.header())
 }
 
-// read reads up to count pieces; it reports io.EOF at the end of the answer.
+// read reads up to count chunks; it returns io.EOF at the end of the answer.
 func (c *caller) read(s *client.Stream, count int) error {
 	for range count {
-		piece, err := s.Next()
+		chunk, err := s.Next()
 		if err != nil {
 			return err
 		}
-		c.text.WriteString(piece.Text)
-		if piece.Cursor != "" {
-			c.cursor = piece.Cursor
+		c.text.WriteString(chunk.Text)
+		if chunk.Cursor != "" {
+			c.cursor = chunk.Cursor
 		}
 	}
 	return nil
 }
 
-// readAll reads the rest of the answer and checks the whole of it.
+// readAll reads the rest of the answer and checks the complete answer.
 func (c *caller) readAll(s *client.Stream) check.Report {
 	must.ErrorIs(c.t, c.read(s, 10*answerTokens), io.EOF)
 	report, err := check.Answer(c.ids, c.text.String())
@@ -73,26 +73,26 @@
 	return report
 }
 
-func TestCallerGoesOnAtAnotherNode(t *testing.T) {
+func TestCallerResumesAtAnotherNode(t *testing.T) {
 	cases := map[string]struct {
 		fault func(f *fleet.Fleet)
 		seams int
 	}{
-		"caller reconnects":            {func(*fleet.Fleet) {}, 0},
-		"owner dies":                   {func(f *fleet.Fleet) { f.Nodes[0].Kill() }, 0},
-		"owner and engine die":         {func(f *fleet.Fleet) { f.Engine().Kill(nil); f.Nodes[0].Kill() }, 1},
-		"owner is cut from its engine": {func(f *fleet.Fleet) { f.Engine().CutLinks() }, 0},
-		"owner dies, then its engine":  {func(f *fleet.Fleet) { f.Nodes[0].Kill(); f.Engine().Kill(nil) }, 1},
-		"owner dies, the list lags":    {func(f *fleet.Fleet) { f.Platform.SetLag(true); f.Nodes[0].Kill() }, 0},
-		"owner dies, platform is down": {func(f *fleet.Fleet) { f.Platform.SetDown(true); f.Nodes[0].Kill() }, 0},
-		"owner is replaced by a new one": {func(f *fleet.Fleet) {
+		"caller reconnects":                     {func(*fleet.Fleet) {}, 0},
+		"owner is killed":                       {func(f *fleet.Fleet) { f.Nodes[0].Kill() }, 0},
+		"owner and engine are killed":           {func(f *fleet.Fleet) { f.BusyEngine().Kill(nil); f.Nodes[0].Kill() }, 1},
+		"engine closes its connections":         {func(f *fleet.Fleet) { f.BusyEngine().CloseConnections() }, 0},
+		"owner is killed, then its engine":      {func(f *fleet.Fleet) { f.Nodes[0].Kill(); f.BusyEngine().Kill(nil) }, 1},
+		"owner is killed, list of VMs is stale": {func(f *fleet.Fleet) { f.Platform.SetLag(true); f.Nodes[0].Kill() }, 0},
+		"owner is killed, platform is down":     {func(f *fleet.Fleet) { f.Platform.SetDown(true); f.Nodes[0].Kill() }, 0},
+		"owner is killed and restarted": {func(f *fleet.Fleet) {
 			f.Nodes[0].Kill()
 			must.NoError(t, f.StartNode(t.Context(), 0))
 		}, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := start(t, func(c *fleet.Config) { c.Nodes = 4; c.Adjust = patient })
+			f := start(t, func(c *fleet.Config) { c.Nodes = 4; c.AdjustSettings = withoutTimeouts })
 			c := newCaller(t, f, "key-1")
 			s, err := c.connect(0)
 			must.NoError(t, err)
@@ -106,8 +106,8 @@
 	}
 }
 
-func TestOldConnectionIsToldThatItIsSuperseded(t *testing.T) {
-	f := start(t, func(c *fleet.Config) { c.Nodes = 3; c.Adjust = patient })
+func TestOldConnectionGetsSuperseded(t *testing.T) {
+	f := start(t, func(c *fleet.Config) { c.Nodes = 3; c.AdjustSettings = withoutTimeouts })
 	c := newCaller(t, f, "key-2")
 	old, err := c.connect(0)
 	must.NoError(t, err)
@@ -124,25 +124,25 @@
 	must.EqOp(t, "superseded", failed.Detail.Type)
 }
 
-func TestFinishedAnswerIsGivenAgainAndNothingRuns(t *testing.T) {
-	f := start(t, func(c *fleet.Config) { c.Nodes = 3; c.Adjust = patient })
+func TestFinishedAnswerIsReplayedWithoutRun(t *testing.T) {
+	f := start(t, func(c *fleet.Config) { c.Nodes = 3; c.AdjustSettings = withoutTimeouts })
 	first := newCaller(t, f, "key-3")
 	s, err := first.connect(0)
 	must.NoError(t, err)
 	first.readAll(s)
-	runs := runsOf(f)
-	for name, prepare := range map[string]func(){"owner lives": func() {}, "owner is gone": f.Nodes[0].Kill} {
+	runs := totalRuns(f)
+	for name, prepare := range map[string]func(){"owner runs": func() {}, "owner was killed": f.Nodes[0].Kill} {
 		prepare()
 		again := newCaller(t, f, "key-3")
 		s, err = again.connect(2)
 		must.NoError(t, err, must.Sprint(name))
 		again.readAll(s)
 		must.EqOp(t, first.text.String(), again.text.String())
-		must.EqOp(t, runs, runsOf(f))
+		must.EqOp(t, runs, totalRuns(f))
 	}
 }
 
-func runsOf(f *fleet.Fleet) int64 {
+func totalRuns(f *fleet.Fleet) int64 {
 	var runs int64
 	for _, e := range f.Engines {
 		runs += e.Stats().Runs
@@ -150,30 +150,30 @@
 	return runs
 }
 
-func TestComingBackIsRefused(t *testing.T) {
-	f := start(t, func(c *fleet.Config) { c.Nodes = 3; c.Adjust = patient })
+func TestInvalidResumptionIsRefused(t *testing.T) {
+	f := start(t, func(c *fleet.Config) { c.Nodes = 3; c.AdjustSettings = withoutTimeouts })
 	c := newCaller(t, f, "key-4")
 	s, err := c.connect(0)
 	must.NoError(t, err)
 	must.NoError(t, c.read(s, 20))
-	good := c.cursor
+	validCursor := c.cursor
 	cases := map[string]struct {
 		change func(c *caller)
 		want   string
 	}{
-		"another body":       {func(c *caller) { c.req.MaxTokens = 7 }, "conflict"},
-		"marked otherwise":   {func(c *caller) { c.once = true; c.cursor = "" }, "conflict"},
-		"forged cursor":      {func(c *caller) { c.cursor = good[:30] + string(good[30]^1) + good[31:] }, "bad_request"},
-		"cut cursor":         {func(c *caller) { c.cursor = good[:40] }, "bad_request"},
-		"cursor without key": {func(c *caller) { c.key = "" }, "bad_request"},
-		"cursor of another":  {func(c *caller) { c.key = "key-5" }, "answer_lost"},
+		"another body":             {func(c *caller) { c.req.MaxTokens = 7 }, "conflict"},
+		"marked as not repeatable": {func(c *caller) { c.atMostOnce = true; c.cursor = "" }, "conflict"},
+		"forged cursor":            {func(c *caller) { c.cursor = validCursor[:30] + string(validCursor[30]^1) + validCursor[31:] }, "bad_request"},
+		"cut cursor":               {func(c *caller) { c.cursor = validCursor[:40] }, "bad_request"},
+		"cursor without key":       {func(c *caller) { c.key = "" }, "bad_request"},
+		"cursor of another":        {func(c *caller) { c.key = "key-5" }, "answer_lost"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			back := newCaller(t, f, "key-4")
-			back.cursor = good
-			tc.change(back)
-			_, err := back.connect(1)
+			resumed := newCaller(t, f, "key-4")
+			resumed.cursor = validCursor
+			tc.change(resumed)
+			_, err := resumed.connect(1)
 			failed, ok := errors.AsType[*client.FailedError](err)
 			must.True(t, ok, must.Sprint(err))
 			must.EqOp(t, tc.want, failed.Detail.Type)
@@ -181,8 +181,8 @@
 	}
 }
 
-func TestAnswerThatNobodyHoldsIsToldAsLost(t *testing.T) {
-	f := start(t, func(c *fleet.Config) { c.Nodes = 2; c.Adjust = patient })
+func TestAnswerHeldByNoNodeIsReportedLost(t *testing.T) {
+	f := start(t, func(c *fleet.Config) { c.Nodes = 2; c.AdjustSettings = withoutTimeouts })
 	c := newCaller(t, f, "key-6")
 	s, err := c.connect(0)
 	must.NoError(t, err)
--- a/tools/fleet/fleet.go
+++ b/tools/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// Names of what a fleet starts with.
+// The model, service and API keys that every fleet is configured with.
 const (
 	Model       vaneyoke.ModelID   = "reconcile-1"
 	Service     vaneyoke.ServiceID = "stock"
@@ -29,24 +29,24 @@
 	loopback                       = "127.0.0.1"
 )
 
-// portsEach is the number of ports that a node listens on.
-const portsEach = 3
+// portsPerNode is the number of ports that a node listens on.
+const portsPerNode = 3
 
 var dataCentres = []vaneyoke.DataCentreID{"hall-a", "hall-b", "hall-c"}
 
-// Config says how large a fleet is.
+// Config sets the size of a fleet and the settings of its nodes.
 type Config struct {
-	Nodes    int
-	Engines  int
-	Services int
-	Port     int // first port of the nodes; 0 for any
-	Engine   standin.EngineConfig
-	Recovery vaneyoke.Recovery
-	Members  bool // whether the nodes are members from the start, without joining one by one
-	Log      io.Writer
-	LogLevel string
-	Trace    string // output of the nodes' traces
-	Adjust   func(*settings.Settings)
+	Nodes           int
+	Engines         int
+	Services        int
+	FirstPort       int // first port of the nodes; 0 for ephemeral ports
+	Engine          standin.EngineConfig
+	Recovery        vaneyoke.Recovery
+	RegisterMembers bool // register all nodes as members before they start, so that they need not join one by one
+	Log             io.Writer
+	LogLevel        string
+	TraceOutput     string // [trace] output of the nodes
+	AdjustSettings  func(*settings.Settings)
 }
 
 // Fleet is a running set of nodes and stand-ins.
@@ -59,7 +59,7 @@
 	log      *logrus.Logger
 }
 
-// Start brings up a fleet whose nodes are ready.
+// Start starts a fleet and returns it when its nodes are ready.
 func Start(ctx context.Context, config Config) (*Fleet, error) {
 	log, err := telemetry.NewLogger(config.Log, config.LogLevel)
 	if err != nil {
@@ -85,11 +85,11 @@
 			return err
 		}
 	}
-	f.listVMs(ctx)
+	f.publishVMs(ctx)
 	return nil
 }
 
-func vmName(i int) vaneyoke.VMID { return vaneyoke.VMID(fmt.Sprintf("vm-%d", i)) }
+func vmID(i int) vaneyoke.VMID { return vaneyoke.VMID(fmt.Sprintf("vm-%d", i)) }
 
 func (f *Fleet) startStandins() error {
 	address := net.JoinHostPort(loopback, "0")
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// configure registers the upstreams and the workspace.
+// configure writes the upstreams, the workspace and, with RegisterMembers, the nodes to the table.
 func (f *Fleet) configure(ctx context.Context) error {
 	var changes []catalog.Change
 	for _, u := range f.Upstreams() {
@@ -131,8 +131,8 @@
 	}
 	changes = append(changes, catalog.Change{Partition: catalog.PartitionWorkspaces, ID: string(workspace.ID), Value: workspace})
 	for i := range f.config.Nodes {
-		if f.config.Members {
-			node := catalog.Node{VM: vmName(i), DataCentre: dataCentres[i%len(dataCentres)]}
+		if f.config.RegisterMembers {
+			node := catalog.Node{VM: vmID(i), DataCentre: dataCentres[i%len(dataCentres)]}
 			changes = append(changes, catalog.Change{Partition: catalog.PartitionNodes, ID: string(node.VM), Value: node})
 		}
 	}
@@ -140,7 +140,7 @@
 	return err
 }
 
-// Upstreams returns the fleet's upstreams.
+// Upstreams returns the engines and services of the fleet as upstreams.
 func (f *Fleet) Upstreams() []vaneyoke.Upstream {
 	var list []vaneyoke.Upstream
 	for i, e := range f.Engines {
@@ -182,28 +182,28 @@
 table_url = %s
 object_url = %s
 vms_url = %s
-`, vmName(i), dataCentres[i%len(dataCentres)], f.address(portsEach*i), f.address(portsEach*i+1), f.address(portsEach*i+2), f.Platform.URL(), f.Platform.ObjectURL(), f.Platform.VMsURL())
+`, vmID(i), dataCentres[i%len(dataCentres)], f.address(portsPerNode*i), f.address(portsPerNode*i+1), f.address(portsPerNode*i+2), f.Platform.URL(), f.Platform.ObjectURL(), f.Platform.VMsURL())
 	s, err := settings.Parse([]byte(text), "fleet")
-	s.Trace.Output = f.config.Trace
-	if f.config.Adjust != nil {
-		f.config.Adjust(&s)
+	s.Trace.Output = f.config.TraceOutput
+	if f.config.AdjustSettings != nil {
+		f.config.AdjustSettings(&s)
 	}
 	return s, err
 }
 
 func (f *Fleet) address(offset int) string {
-	if f.config.Port == 0 {
+	if f.config.FirstPort == 0 {
 		return net.JoinHostPort(loopback, "0")
 	}
-	return net.JoinHostPort(loopback, strconv.Itoa(f.config.Port+offset))
+	return net.JoinHostPort(loopback, strconv.Itoa(f.config.FirstPort+offset))
 }
 
-// StartNode starts node i, or starts it anew after its death.
+// StartNode starts node i, or restarts it after it was killed.
 func (f *Fleet) StartNode(ctx context.Context, i int) error {
 	if err := f.startNode(ctx, i); err != nil {
 		return err
 	}
-	f.listVMs(ctx)
+	f.publishVMs(ctx)
 	return nil
 }
 
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// listVMs tells the platform which VMs there are, and the nodes to read its list.
-func (f *Fleet) listVMs(ctx context.Context) {
+// publishVMs updates the platform's list of VMs and has the nodes read it.
+func (f *Fleet) publishVMs(ctx context.Context) {
 	var vms []store.VM
 	for _, n := range f.Nodes {
 		vms = append(vms, n.VM())
@@ -240,17 +240,17 @@
 	}
 }
 
-// Engine returns the engine that runs something, or nil.
-func (f *Fleet) Engine() *standin.Engine {
+// BusyEngine returns an engine with an open run, or nil if there is none.
+func (f *Fleet) BusyEngine() *standin.Engine {
 	for _, e := range f.Engines {
-		if e.Stats().Open > 0 {
+		if e.Stats().OpenRuns > 0 {
 			return e
 		}
 	}
 	return nil
 }
 
-// Stop stops the nodes in a planned way, and then closes the stand-ins.
+// Stop stops the nodes gracefully, and then closes the stand-ins.
 func (f *Fleet) Stop(ctx context.Context) error {
 	var errs []error
 	for _, n := range f.Nodes {
@@ -261,7 +261,7 @@
 	return errors.Join(errs...)
 }
 
-// Close ends everything at once.
+// Close kills the nodes and closes the stand-ins.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes {
 		n.Kill()
--- a/tools/fleet/fleet_test.go
+++ b/tools/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 		Nodes: 2, Engines: 3, Services: 1,
 		Engine:   standin.DefaultEngineConfig(),
 		Recovery: vaneyoke.RecoverFast,
-		Log:      t.Output(), LogLevel: "warning", Trace: "off",
+		Log:      t.Output(), LogLevel: "warning", TraceOutput: "off",
 	}
 	if adjust != nil {
 		adjust(&config)
@@ -36,8 +36,8 @@
 	return f
 }
 
-// patient keeps nodes from judging silence and slowness.
-func patient(s *settings.Settings) {
+// withoutTimeouts sets the timeouts for silent and slow upstreams and peers so high that they never expire.
+func withoutTimeouts(s *settings.Settings) {
 	s.Recovery.FirstToken, s.Recovery.Floor, s.Recovery.Ceiling = time.Hour, time.Hour, time.Hour
 	s.Peers.AckWait, s.Peers.CallTimeout = time.Minute, time.Minute
 	s.Platform.Fresh = time.Hour
@@ -48,50 +48,50 @@
 	return client.Request{Model: fleet.Model, Messages: messages}, check.Tokenize(standin.ChatPrompt(messages))
 }
 
-// read reads an answer to its end and calls at with the number of pieces read so far.
-func read(t *testing.T, s *client.Stream, at func(int)) (string, vaneyoke.FinishReason) {
+// read reads an answer to its end, and calls onChunk with the number of chunks read so far.
+func read(t *testing.T, s *client.Stream, onChunk func(int)) (string, vaneyoke.FinishReason) {
 	t.Helper()
 	var text strings.Builder
 	var reason vaneyoke.FinishReason
 	for n := 1; ; n++ {
-		piece, err := s.Next()
+		chunk, err := s.Next()
 		if errors.Is(err, io.EOF) {
 			return text.String(), reason
 		}
 		must.NoError(t, err)
-		text.WriteString(piece.Text)
-		reason = piece.Reason
-		if at != nil {
-			at(n)
+		text.WriteString(chunk.Text)
+		reason = chunk.Reason
+		if onChunk != nil {
+			onChunk(n)
 		}
 	}
 }
 
-func TestAnswerGoesOnAfterAnEngineFault(t *testing.T) {
+func TestAnswerResumesAfterEngineFault(t *testing.T) {
 	const tokens = 120
 	kill := func(e *standin.Engine) { e.Kill(nil) }
-	cut := func(e *standin.Engine) { e.CutLinks() }
+	cut := func(e *standin.Engine) { e.CloseConnections() }
 	faults := map[string]struct {
-		fault func(*standin.Engine)
-		chunk int
-		seams int
-		judge bool // whether silence is judged; where it is not, no slow machine adds a seam
+		fault         func(*standin.Engine)
+		chunk         int
+		seams         int
+		detectSilence bool // keeps the timeouts; without them a slow machine adds no seam
 	}{
-		"none":                {func(*standin.Engine) {}, 1, 0, false},
-		"kill":                {kill, 1, 1, false},
-		"kill, three a chunk": {kill, 3, 1, false},
-		"cut links":           {cut, 1, 0, false},
-		"cut, three a chunk":  {cut, 3, 0, false},
-		"pause":               {func(e *standin.Engine) { e.Pause(); time.AfterFunc(time.Second, e.Continue) }, 1, 1, true},
-		"malformed":           {func(e *standin.Engine) { e.Spoil(1) }, 1, 1, false},
-		"error in mid-stream": {func(e *standin.Engine) { e.FailEvents(1) }, 1, 0, false},
+		"none":                         {func(*standin.Engine) {}, 1, 0, false},
+		"kill":                         {kill, 1, 1, false},
+		"kill, three tokens per chunk": {kill, 3, 1, false},
+		"close connections":            {cut, 1, 0, false},
+		"cut, three tokens per chunk":  {cut, 3, 0, false},
+		"pause":                        {func(e *standin.Engine) { e.Pause(); time.AfterFunc(time.Second, e.Continue) }, 1, 1, true},
+		"malformed":                    {func(e *standin.Engine) { e.SendMalformedEvents(1) }, 1, 1, false},
+		"error in mid-stream":          {func(e *standin.Engine) { e.SendErrorEvents(1) }, 1, 0, false},
 	}
 	for name, tc := range faults {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, func(c *fleet.Config) {
-				c.Engine.Chunk = tc.chunk
-				if !tc.judge {
-					c.Adjust = patient
+				c.Engine.ChunkTokens = tc.chunk
+				if !tc.detectSilence {
+					c.AdjustSettings = withoutTimeouts
 				}
 			})
 			req, ids := prompt("reconcile the manifest of depot seven length=120")
@@ -99,14 +99,14 @@
 			must.NoError(t, err)
 			text, reason := read(t, s, func(n int) {
 				if n == 30 {
-					tc.fault(f.Engine())
+					tc.fault(f.BusyEngine())
 				}
 			})
 			report, err := check.Answer(ids, text)
 			must.NoError(t, err)
 			must.Between(t, tokens, report.Tokens, tokens+1)
 			must.EqOp(t, vaneyoke.FinishStop, reason)
-			if tc.judge {
+			if tc.detectSilence {
 				must.SliceNotEmpty(t, report.Seams)
 			} else {
 				must.SliceLen(t, tc.seams, report.Seams)
@@ -115,21 +115,21 @@
 	}
 }
 
-// TestAnswerEndsWhereItsFinishWasLost loses the event that holds the last token and the finish reason.
-func TestAnswerEndsWhereItsFinishWasLost(t *testing.T) {
-	for name, restored := range map[string]bool{"engine lives": true, "engine dies": false} {
+// TestAnswerCompletesAfterLostFinishEvent guards against an answer that never ends or gets extra tokens when the event with its last token and finish reason is lost.
+func TestAnswerCompletesAfterLostFinishEvent(t *testing.T) {
+	for name, engineRuns := range map[string]bool{"engine keeps running": true, "engine is killed": false} {
 		t.Run(name, func(t *testing.T) {
-			f := start(t, func(c *fleet.Config) { c.Adjust = patient })
+			f := start(t, func(c *fleet.Config) { c.AdjustSettings = withoutTimeouts })
 			req, ids := prompt("reconcile the manifest of depot eight length=40")
 			s, err := client.New(http.DefaultClient, f.Nodes[0].URL(), fleet.CallerKey).Generate(t.Context(), req, nil)
 			must.NoError(t, err)
-			broken := f.Engine()
+			faulty := f.BusyEngine()
 			text, reason := read(t, s, func(n int) {
 				if n == 38 {
-					broken.FailEvents(2)
+					faulty.SendErrorEvents(2)
 				}
-				if n == 39 && !restored {
-					broken.Kill(nil)
+				if n == 39 && !engineRuns {
+					faulty.Kill(nil)
 				}
 			})
 			report, err := check.Answer(ids, text)
--- a/tools/fleet/link_test.go
+++ b/tools/fleet/link_test.go
@@ -15,39 +15,39 @@
 	"github.com/vaneyoke/vaneyoke/tools/fleet"
 )
 
-// link is one connection to a node, so that a test sees when it is closed.
-type link struct {
+// nodeConn is a connection to a node that lets a test observe when it is closed.
+type nodeConn struct {
 	net.Conn
-	reader *bufio.Reader
-	kept   bool // whether an answer has come over it that did not announce its end
+	reader    *bufio.Reader
+	keptAlive bool // whether the latest answer did not announce that the connection closes
 }
 
-func dial(ctx context.Context, url string) (*link, error) {
+func dial(ctx context.Context, url string) (*nodeConn, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", strings.TrimPrefix(url, "http://"))
 	if err != nil {
 		return nil, err
 	}
-	return &link{Conn: conn, reader: bufio.NewReader(conn)}, nil
+	return &nodeConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// post returns the bytes of a request and where its body begins.
-func post(method, path, key, body string) (raw []byte, bodyAt int) {
+// rawRequest returns the bytes of a request and the offset of its body.
+func rawRequest(method, path, key, body string) (raw []byte, bodyAt int) {
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: node\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", method, path, key, len(body))
 	return append([]byte(head), body...), len(head)
 }
 
-func reserve(order string) (raw []byte, bodyAt int) {
-	return post(http.MethodPost, "/v1/services/"+string(fleet.Service)+"/reserve", fleet.CallerKey, `{"order":"`+order+`"}`)
+func rawReserve(order string) (raw []byte, bodyAt int) {
+	return rawRequest(http.MethodPost, "/v1/services/"+string(fleet.Service)+"/reserve", fleet.CallerKey, `{"order":"`+order+`"}`)
 }
 
-// reply is what a node answered.
+// reply is the answer of a node.
 type reply struct {
 	status  int
-	failure callerapi.ErrorDetail // the zero value for an answer without one
+	failure callerapi.ErrorDetail // zero if the answer has none
 }
 
-// answer reads one whole answer.
-func (l *link) answer() (reply, error) {
+// readReply reads one complete answer.
+func (l *nodeConn) readReply() (reply, error) {
 	_ = l.SetReadDeadline(time.Now().Add(20 * time.Second))
 	res, err := http.ReadResponse(l.reader, nil)
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return reply{}, err
 	}
-	l.kept = !res.Close
+	l.keptAlive = !res.Close
 	var failure callerapi.ErrorBody
 	if res.StatusCode >= http.StatusBadRequest {
 		err = json.Unmarshal(body, &failure)
@@ -66,10 +66,10 @@
 	return reply{status: res.StatusCode, failure: failure.Failure}, err
 }
 
-// ask sends a request and reads its answer.
-func (l *link) ask(raw []byte) (reply, error) {
+// roundTrip sends a request and reads its answer.
+func (l *nodeConn) roundTrip(raw []byte) (reply, error) {
 	if _, err := l.Write(raw); err != nil {
 		return reply{}, err
 	}
-	return l.answer()
+	return l.readReply()
 }
--- a/tools/fleet/once_test.go
+++ b/tools/fleet/once_test.go
@@ -17,8 +17,8 @@
 	"github.com/vaneyoke/vaneyoke/tools/standin"
 )
 
-// told is the result code's name that a caller gets for an order, "ok" for an answer.
-func told(t *testing.T, f *fleet.Fleet, node int, key, order string) string {
+// callResult calls the service with an order, and returns the name of the result code, or "ok" for an answer.
+func callResult(t *testing.T, f *fleet.Fleet, node int, key, order string) string {
 	t.Helper()
 	c := client.New(http.DefaultClient, f.Nodes[node].URL(), fleet.CallerKey)
 	header := http.Header{}
@@ -39,7 +39,7 @@
 
 const neverAnswers = "service never answers"
 
-// call is one call of a story: what is broken before it, where it goes, and what its caller has to be told.
+// call is one call of a test case: the fault injected before it, the node that receives it, and the expected result.
 type call struct {
 	before func(f *fleet.Fleet)
 	node   int
@@ -50,33 +50,33 @@
 
 func TestRunsAtMostOnce(t *testing.T) {
 	nothing := func(*fleet.Fleet) {}
-	die := func(f *fleet.Fleet) { postFault(t, f.Services[0].URL(), `{"fault":"kill"}`) }
-	revive := func(f *fleet.Fleet) { postFault(t, f.Services[0].URL(), `{"fault":"restore"}`) }
+	kill := func(f *fleet.Fleet) { postFault(t, f.Services[0].URL(), `{"fault":"kill"}`) }
+	restore := func(f *fleet.Fleet) { postFault(t, f.Services[0].URL(), `{"fault":"restore"}`) }
 	down := func(f *fleet.Fleet) { f.Platform.SetDown(true) }
 	up := func(f *fleet.Fleet) { f.Platform.SetDown(false) }
-	lose := func(f *fleet.Fleet) { f.Platform.LoseReplies(1) }
+	loseReply := func(f *fleet.Fleet) { f.Platform.LoseReplies(1) }
 	slow := func(f *fleet.Fleet) { f.Services[0].SetDelay(time.Hour) }
-	gone := func(f *fleet.Fleet) { _ = f.Services[0].Close() }
+	closeService := func(f *fleet.Fleet) { _ = f.Services[0].Close() }
 	cases := map[string]struct {
 		calls []call
 		runs  int
 	}{
-		"repeat at the same node":     {[]call{{nothing, 0, "k", "a", "ok"}, {nothing, 0, "k", "a", "ok"}}, 1},
-		"repeat at another node":      {[]call{{nothing, 0, "k", "a", "ok"}, {nothing, 1, "k", "a", "ok"}}, 1},
-		"key for another order":       {[]call{{nothing, 0, "k", "a", "ok"}, {nothing, 1, "k", "b", "conflict"}}, 1},
-		"reply of the claim is lost":  {[]call{{lose, 0, "k", "a", "ok"}, {nothing, 1, "k", "a", "ok"}}, 1},
-		"store is down":               {[]call{{down, 0, "k", "a", "claim_unknown"}, {down, 1, "k", "a", "claim_unknown"}}, 0},
-		"store was down":              {[]call{{down, 0, "k", "a", "claim_unknown"}, {up, 1, "k2", "a", "ok"}}, 1},
-		"service dies in the call":    {[]call{{die, 0, "k", "a", "may_have_run"}, {revive, 1, "k", "a", "may_have_run"}}, 0},
-		neverAnswers:                  {[]call{{slow, 0, "k", "a", "may_have_run"}, {nothing, 1, "k", "a", "may_have_run"}}, 1},
-		"service cannot be reached":   {[]call{{gone, 0, "k", "a", "no_upstream"}, {nothing, 1, "k", "a", "no_upstream"}}, 0},
-		"without a key, service dies": {[]call{{die, 0, "", "a", "may_have_run"}}, 0},
-		"without a key, store down":   {[]call{{down, 0, "", "a", "ok"}}, 1},
+		"repeat at the same node":          {[]call{{nothing, 0, "k", "a", "ok"}, {nothing, 0, "k", "a", "ok"}}, 1},
+		"repeat at another node":           {[]call{{nothing, 0, "k", "a", "ok"}, {nothing, 1, "k", "a", "ok"}}, 1},
+		"key for another order":            {[]call{{nothing, 0, "k", "a", "ok"}, {nothing, 1, "k", "b", "conflict"}}, 1},
+		"reply of the claim is lost":       {[]call{{loseReply, 0, "k", "a", "ok"}, {nothing, 1, "k", "a", "ok"}}, 1},
+		"store is down":                    {[]call{{down, 0, "k", "a", "claim_unknown"}, {down, 1, "k", "a", "claim_unknown"}}, 0},
+		"store was down":                   {[]call{{down, 0, "k", "a", "claim_unknown"}, {up, 1, "k2", "a", "ok"}}, 1},
+		"service is killed in the call":    {[]call{{kill, 0, "k", "a", "may_have_run"}, {restore, 1, "k", "a", "may_have_run"}}, 0},
+		neverAnswers:                       {[]call{{slow, 0, "k", "a", "may_have_run"}, {nothing, 1, "k", "a", "may_have_run"}}, 1},
+		"service cannot be reached":        {[]call{{closeService, 0, "k", "a", "no_upstream"}, {nothing, 1, "k", "a", "no_upstream"}}, 0},
+		"without a key, service is killed": {[]call{{kill, 0, "", "a", "may_have_run"}}, 0},
+		"without a key, store down":        {[]call{{down, 0, "", "a", "ok"}}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, func(c *fleet.Config) {
-				c.Adjust = func(s *settings.Settings) {
+				c.AdjustSettings = func(s *settings.Settings) {
 					s.Limits.MaxWait = 300 * time.Millisecond
 					s.Limits.CallSilence = time.Hour
 					s.Platform.Fresh = time.Hour
@@ -87,8 +87,8 @@
 			})
 			for i, c := range tc.calls {
 				c.before(f)
-				must.EqOp(t, c.want, told(t, f, c.node, c.key, c.order), must.Sprintf("call %d", i))
-				waitSaved(t, f, c)
+				must.EqOp(t, c.want, callResult(t, f, c.node, c.key, c.order), must.Sprintf("call %d", i))
+				waitAnswerSaved(t, f, c)
 			}
 			total := 0
 			for _, runs := range f.Services[0].Orders() {
@@ -99,13 +99,13 @@
 	}
 }
 
-// waitSaved waits until an answer stands in the table, which its own caller does not wait for.
-func waitSaved(t *testing.T, f *fleet.Fleet, c call) {
+// waitAnswerSaved waits until the answer is saved in the table; the caller itself does not wait for that.
+func waitAnswerSaved(t *testing.T, f *fleet.Fleet, c call) {
 	t.Helper()
 	if c.want != "ok" || c.key == "" {
 		return
 	}
-	for !f.Platform.Holds("claim", "souk/"+c.key, "done") {
+	for !f.Platform.RowContains("claim", "souk/"+c.key, "done") {
 		must.NoError(t, t.Context().Err())
 		time.Sleep(time.Millisecond)
 	}
@@ -119,10 +119,10 @@
 	_ = res.Body.Close()
 }
 
-// TestLateAnswerIsThereForACallerThatComesBack has the caller leave while its call runs.
-func TestLateAnswerIsThereForACallerThatComesBack(t *testing.T) {
+// TestLateAnswerIsKeptForReturningCaller guards against losing the answer of a call, or running it twice, when its caller disconnects while it runs.
+func TestLateAnswerIsKeptForReturningCaller(t *testing.T) {
 	f := start(t, func(c *fleet.Config) {
-		c.Adjust = func(s *settings.Settings) { s.Limits.CallSilence = time.Hour; s.Platform.Fresh = time.Hour }
+		c.AdjustSettings = func(s *settings.Settings) { s.Limits.CallSilence = time.Hour; s.Platform.Fresh = time.Hour }
 	})
 	f.Services[0].SetDelay(300 * time.Millisecond)
 	ctx, leave := context.WithCancel(t.Context())
@@ -135,7 +135,7 @@
 	c := client.New(http.DefaultClient, f.Nodes[0].URL(), fleet.CallerKey)
 	_, err := c.Call(ctx, fleet.Service, "reserve", []byte(`{"order":"a"}`), http.Header{"Idempotency-Key": {"k"}})
 	must.ErrorIs(t, err, context.Canceled)
-	for got := ""; got != "ok"; got = told(t, f, 1, "k", "a") {
+	for got := ""; got != "ok"; got = callResult(t, f, 1, "k", "a") {
 		must.SliceContains(t, []string{"", "may_have_run"}, got)
 		must.NoError(t, t.Context().Err())
 		time.Sleep(10 * time.Millisecond)
--- a/tools/fleet/openai_test.go
+++ b/tools/fleet/openai_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestOfficialClient(t *testing.T) {
-	f := start(t, func(c *fleet.Config) { c.Adjust = patient })
+	f := start(t, func(c *fleet.Config) { c.AdjustSettings = withoutTimeouts })
 	official := officialClient(f)
 	messages := []gpt.ChatCompletionMessageParamUnion{gpt.UserMessage("describe length=40")}
 	params := gpt.ChatCompletionNewParams{Model: string(fleet.Model), Messages: messages}
@@ -102,7 +102,7 @@
 
 func TestBadRequests(t *testing.T) {
 	f := start(t, func(c *fleet.Config) {
-		c.Adjust = func(s *settings.Settings) { s.Limits.BodyBytes = 2000; s.Limits.MaxWait = 200 * time.Millisecond }
+		c.AdjustSettings = func(s *settings.Settings) { s.Limits.BodyBytes = 2000; s.Limits.MaxWait = 200 * time.Millisecond }
 	})
 	chat := `{"model":"reconcile-1","messages":[{"role":"user","content":"x"}]`
 	cases := map[string]struct {
@@ -143,5 +143,5 @@
 			must.True(t, body.Failure.NotRun)
 		})
 	}
-	must.Zero(t, runsOf(f))
+	must.Zero(t, totalRuns(f))
 }
--- a/tools/fleet/operator_test.go
+++ b/tools/fleet/operator_test.go
@@ -21,14 +21,14 @@
 	"github.com/vaneyoke/vaneyoke/tools/fleet"
 )
 
-// ordered is a call of the operator API and its answer.
-type ordered struct {
-	method, path, key, ifMatch, once string
-	body                             any
+// operatorCall is a call of the operator API.
+type operatorCall struct {
+	method, path, key, ifMatch, idempotencyKey string
+	body                                       any
 }
 
-// operate makes a call at a node and returns the name of its result code and the body of its answer.
-func operate(t testing.TB, f *fleet.Fleet, node int, o ordered) (code string, body []byte) {
+// callOperatorAPI sends a call to a node, and returns the name of the result code and the body of the answer.
+func callOperatorAPI(t testing.TB, f *fleet.Fleet, node int, o operatorCall) (code string, body []byte) {
 	t.Helper()
 	raw, err := json.Marshal(o.body)
 	must.NoError(t, err)
@@ -39,8 +39,8 @@
 	if o.ifMatch != "" {
 		req.Header.Set("If-Match", o.ifMatch)
 	}
-	if o.once != "" {
-		req.Header.Set("Idempotency-Key", o.once)
+	if o.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", o.idempotencyKey)
 	}
 	res, err := http.DefaultClient.Do(req)
 	must.NoError(t, err)
@@ -57,30 +57,30 @@
 	return "ok", body
 }
 
-func submit(name, wait string) ordered {
+func submitPolicy(name, wait string) operatorCall {
 	text := fmt.Sprintf("[policy]\nname = %s\n[rule.all]\nwait = %s\n", name, wait)
-	return ordered{method: http.MethodPut, path: "/v1/policies/" + name, key: fleet.OperatorKey, body: map[string]string{"text": text}}
+	return operatorCall{method: http.MethodPut, path: "/v1/policies/" + name, key: fleet.OperatorKey, body: map[string]string{"text": text}}
 }
 
-// startMembers starts a fleet all of whose nodes are members.
+// startMembers starts a fleet and waits until all its nodes have joined the members.
 func startMembers(t *testing.T, nodes int, adjust func(*settings.Settings)) *fleet.Fleet {
 	f := start(t, func(c *fleet.Config) {
 		c.Nodes = nodes
-		c.Adjust = func(s *settings.Settings) {
-			patient(s)
+		c.AdjustSettings = func(s *settings.Settings) {
+			withoutTimeouts(s)
 			s.Platform.Poll = 50 * time.Millisecond
 			if adjust != nil {
 				adjust(s)
 			}
 		}
 	})
-	for len(f.Platform.Rows("node")) < nodes {
+	for len(f.Platform.RowIDs("node")) < nodes {
 		must.NoError(t, t.Context().Err())
 		time.Sleep(time.Millisecond)
 	}
 	joined, err := catalog.ReadRevision(t.Context(), f.Platform.Memory)
 	must.NoError(t, err)
-	for _, n := range f.Nodes { // a node that has not read who the members are cannot be confirmed by them later
+	for _, n := range f.Nodes { // a node that has not read the list of members cannot be confirmed by them later
 		for n.Revision() < joined {
 			must.NoError(t, t.Context().Err())
 			time.Sleep(time.Millisecond)
@@ -91,78 +91,78 @@
 
 func TestOperatorsChangeTheFleet(t *testing.T) {
 	f := startMembers(t, 3, nil)
-	revise := func(name, wait, version string) ordered {
-		o := submit(name, wait)
+	revise := func(name, wait, version string) operatorCall {
+		o := submitPolicy(name, wait)
 		o.ifMatch = version
 		return o
 	}
-	once := submit("c", "3s")
-	once.once = "key-1"
-	other := submit("d", "3s")
-	other.once = "key-1"
+	once := submitPolicy("c", "3s")
+	once.idempotencyKey = "key-1"
+	other := submitPolicy("d", "3s")
+	other.idempotencyKey = "key-1"
 	good, err := os.ReadFile("../../docs/examples/souk.ini")
 	must.NoError(t, err)
 	upstream := f.Upstreams()[0]
 	upstream.ID = "engine-9"
 	steps := []struct {
-		name string
-		call ordered
-		want string
-		part string // of the body
+		name     string
+		call     operatorCall
+		want     string
+		contains string // expected in the body
 	}{
-		{"submit", submit("a", "1s"), "ok", `"nodes":3`},
-		{"submit again without a version", submit("a", "2s"), "conflict", "it was changed by souk/operator/"},
+		{"submit", submitPolicy("a", "1s"), "ok", `"nodes":3`},
+		{"submit again without a version", submitPolicy("a", "2s"), "conflict", "it was changed by souk/operator/"},
 		{"revise", revise("a", "2s", `"1"`), "ok", ""},
 		{"revise an old version", revise("a", "3s", `"1"`), "conflict", ""},
 		{"no version", revise("a", "3s", "newest"), "bad_request", "If-Match"},
-		{"program with problems", submit("a", "soon"), "bad_policy", "must be a duration"},
-		{"name differs", func() ordered { o := submit("b", "1s"); o.path = "/v1/policies/x"; return o }(), "bad_policy", "is b and not x"},
+		{"program with problems", submitPolicy("a", "soon"), "bad_policy", "must be a duration"},
+		{"name differs", func() operatorCall { o := submitPolicy("b", "1s"); o.path = "/v1/policies/x"; return o }(), "bad_policy", "is b and not x"},
 		{"with a key", once, "ok", ""},
 		{"again with the key", once, "ok", ""},
 		{"the key for another change", other, "conflict", "used for another change"},
-		{"caller submits", func() ordered { o := submit("e", "1s"); o.key = fleet.CallerKey; return o }(), "forbidden", ""},
-		{"stranger submits", func() ordered { o := submit("e", "1s"); o.key = "x"; return o }(), "unknown_key", ""},
-		{"operator registers", ordered{method: http.MethodPut, path: "/v1/upstreams/engine-9", key: fleet.OperatorKey, body: upstream}, "forbidden", ""},
-		{"administrator registers", ordered{method: http.MethodPut, path: "/v1/upstreams/engine-9", key: fleet.AdminKey, body: upstream}, "ok", ""},
-		{"drain", ordered{method: http.MethodPost, path: "/v1/upstreams/engine-9/drain", key: fleet.OperatorKey}, "ok", ""},
-		{"list", ordered{method: http.MethodGet, path: "/v1/upstreams", key: fleet.OperatorKey}, "ok", `"state":"leaving"`},
-		{"remove", ordered{method: http.MethodDelete, path: "/v1/upstreams/engine-9", key: fleet.AdminKey}, "ok", ""},
-		{"remove again", ordered{method: http.MethodDelete, path: "/v1/upstreams/engine-9", key: fleet.AdminKey}, "not_found", ""},
-		{"withdraw", ordered{method: http.MethodDelete, path: "/v1/policies/a", key: fleet.OperatorKey}, "ok", ""},
-		{"check", ordered{method: http.MethodPost, path: "/v1/check", key: fleet.OperatorKey, body: map[string]string{"text": string(good)}}, "ok", "no upstream matches engine-3"},
-		{"explain", ordered{method: http.MethodPost, path: "/v1/explain", key: fleet.OperatorKey, body: map[string]string{"workspace": "souk"}}, "ok", `"rule":"c/all"`},
-		{"create workspace", ordered{method: http.MethodPut, path: "/v1/workspaces/potters", key: fleet.AdminKey, body: map[string]string{"recovery": "frugal"}}, "ok", ""},
-		{"create key", ordered{method: http.MethodPost, path: "/v1/workspaces/potters/keys", key: fleet.AdminKey, body: map[string]any{"role": "operator", "scope": []string{"potters"}}}, "ok", `"key":"vy-`},
-		{"list workspaces", ordered{method: http.MethodGet, path: "/v1/workspaces?limit=1", key: fleet.OperatorKey}, "ok", `"next":"potters"`},
-		{"status", ordered{method: http.MethodGet, path: "/v1/status", key: fleet.OperatorKey}, "ok", `"behind":0`},
-		{"audit", ordered{method: http.MethodGet, path: "/v1/audit", key: fleet.OperatorKey}, "ok", "withdraw policy a"},
+		{"caller submits", func() operatorCall { o := submitPolicy("e", "1s"); o.key = fleet.CallerKey; return o }(), "forbidden", ""},
+		{"stranger submits", func() operatorCall { o := submitPolicy("e", "1s"); o.key = "x"; return o }(), "unknown_key", ""},
+		{"operator registers", operatorCall{method: http.MethodPut, path: "/v1/upstreams/engine-9", key: fleet.OperatorKey, body: upstream}, "forbidden", ""},
+		{"administrator registers", operatorCall{method: http.MethodPut, path: "/v1/upstreams/engine-9", key: fleet.AdminKey, body: upstream}, "ok", ""},
+		{"drain", operatorCall{method: http.MethodPost, path: "/v1/upstreams/engine-9/drain", key: fleet.OperatorKey}, "ok", ""},
+		{"list", operatorCall{method: http.MethodGet, path: "/v1/upstreams", key: fleet.OperatorKey}, "ok", `"state":"leaving"`},
+		{"remove", operatorCall{method: http.MethodDelete, path: "/v1/upstreams/engine-9", key: fleet.AdminKey}, "ok", ""},
+		{"remove again", operatorCall{method: http.MethodDelete, path: "/v1/upstreams/engine-9", key: fleet.AdminKey}, "not_found", ""},
+		{"withdraw", operatorCall{method: http.MethodDelete, path: "/v1/policies/a", key: fleet.OperatorKey}, "ok", ""},
+		{"check", operatorCall{method: http.MethodPost, path: "/v1/check", key: fleet.OperatorKey, body: map[string]string{"text": string(good)}}, "ok", "no upstream matches engine-3"},
+		{"explain", operatorCall{method: http.MethodPost, path: "/v1/explain", key: fleet.OperatorKey, body: map[string]string{"workspace": "souk"}}, "ok", `"rule":"c/all"`},
+		{"create workspace", operatorCall{method: http.MethodPut, path: "/v1/workspaces/potters", key: fleet.AdminKey, body: map[string]string{"recovery": "frugal"}}, "ok", ""},
+		{"create key", operatorCall{method: http.MethodPost, path: "/v1/workspaces/potters/keys", key: fleet.AdminKey, body: map[string]any{"role": "operator", "scope": []string{"potters"}}}, "ok", `"key":"vy-`},
+		{"list workspaces", operatorCall{method: http.MethodGet, path: "/v1/workspaces?limit=1", key: fleet.OperatorKey}, "ok", `"next":"potters"`},
+		{"status", operatorCall{method: http.MethodGet, path: "/v1/status", key: fleet.OperatorKey}, "ok", `"behind":0`},
+		{"audit", operatorCall{method: http.MethodGet, path: "/v1/audit", key: fleet.OperatorKey}, "ok", "withdraw policy a"},
 	}
 	for i, s := range steps {
-		code, body := operate(t, f, i%3, s.call)
+		code, body := callOperatorAPI(t, f, i%3, s.call)
 		must.EqOp(t, s.want, code, must.Sprintf("%s: %s", s.name, body))
-		must.StrContains(t, string(body), s.part)
+		must.StrContains(t, string(body), s.contains)
 	}
 }
 
-func TestOperatorBoundToAWorkspace(t *testing.T) {
+func TestWorkspaceOperatorIsScoped(t *testing.T) {
 	f := startMembers(t, 1, nil)
-	code, _ := operate(t, f, 0, ordered{method: http.MethodPut, path: "/v1/workspaces/potters", key: fleet.AdminKey, body: map[string]string{"recovery": "fast"}})
+	code, _ := callOperatorAPI(t, f, 0, operatorCall{method: http.MethodPut, path: "/v1/workspaces/potters", key: fleet.AdminKey, body: map[string]string{"recovery": "fast"}})
 	must.EqOp(t, "ok", code)
-	code, body := operate(t, f, 0, ordered{method: http.MethodPost, path: "/v1/workspaces/potters/keys", key: fleet.AdminKey, body: map[string]any{"role": "operator", "scope": []string{"potters"}}})
+	code, body := callOperatorAPI(t, f, 0, operatorCall{method: http.MethodPost, path: "/v1/workspaces/potters/keys", key: fleet.AdminKey, body: map[string]any{"role": "operator", "scope": []string{"potters"}}})
 	must.EqOp(t, "ok", code, must.Sprint(string(body)))
 	var key struct{ Key string }
 	must.NoError(t, json.Unmarshal(body, &key))
 	for workspaces, want := range map[string]string{"potters": "ok", "souk": "forbidden", "*": "forbidden"} {
-		o := submit("p", "1s")
+		o := submitPolicy("p", "1s")
 		o.key = key.Key
 		o.body = map[string]string{"text": "[policy]\nname = p\nworkspaces = " + workspaces + "\n[rule.r]\nwait = 1s\n"}
-		code, body := operate(t, f, 0, o)
+		code, body := callOperatorAPI(t, f, 0, o)
 		must.EqOp(t, want, code, must.Sprint(string(body)))
 	}
 }
 
-// TestRacingOperators lets many submit the same policy at all nodes, with replies of the store lost.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentPolicySubmissions checks that exactly one of many concurrent submissions of a policy is accepted, even if the store's replies are lost.
+func TestConcurrentPolicySubmissions(t *testing.T) {
 	const operators = 12
 	f := startMembers(t, 3, nil)
 	f.Platform.LoseReplies(5)
@@ -171,7 +171,7 @@
 	var wait sync.WaitGroup
 	for i := range operators {
 		wait.Go(func() {
-			code, _ := operate(t, f, i%3, submit("contested", fmt.Sprintf("%ds", i+1)))
+			code, _ := callOperatorAPI(t, f, i%3, submitPolicy("contested", fmt.Sprintf("%ds", i+1)))
 			mu.Lock()
 			defer mu.Unlock()
 			codes[code]++
@@ -179,30 +179,31 @@
 	}
 	wait.Wait()
 	must.MapEq(t, map[string]int{"ok": 1, "conflict": operators - 1}, codes)
-	must.SliceLen(t, 1, f.Platform.Rows("policy"))
+	must.SliceLen(t, 1, f.Platform.RowIDs("policy"))
 }
 
-// TestAcceptedPolicyIsInForceEverywhere submits at one node and asks the others at once, also while they cannot read the store.
-func TestAcceptedPolicyIsInForceEverywhere(t *testing.T) {
+// TestAcceptedPolicyIsActiveAtOtherNodes checks that a policy is active at the other nodes as soon as it is accepted, while they cannot read the store,
+// and that no policy is accepted while the store is down.
+func TestAcceptedPolicyIsActiveAtOtherNodes(t *testing.T) {
 	f := startMembers(t, 3, nil)
-	code, _ := operate(t, f, 0, submit("early", "1s"))
+	code, _ := callOperatorAPI(t, f, 0, submitPolicy("early", "1s"))
 	must.EqOp(t, "ok", code)
 	f.Platform.SetDown(true)
 	defer f.Platform.SetDown(false)
-	inForce := 0
+	active := 0
 	for i := range f.Nodes {
-		_, body := operate(t, f, i, ordered{method: http.MethodGet, path: "/v1/policies", key: fleet.OperatorKey})
+		_, body := callOperatorAPI(t, f, i, operatorCall{method: http.MethodGet, path: "/v1/policies", key: fleet.OperatorKey})
 		if strings.Contains(string(body), `"early"`) {
-			inForce++
+			active++
 		}
 	}
-	must.GreaterEq(t, 2, inForce)
-	code, _ = operate(t, f, 0, submit("late", "1s"))
+	must.GreaterEq(t, 2, active)
+	code, _ = callOperatorAPI(t, f, 0, submitPolicy("late", "1s"))
 	must.EqOp(t, "store_down", code)
-	must.SliceLen(t, 1, f.Platform.Rows("policy"))
+	must.SliceLen(t, 1, f.Platform.RowIDs("policy"))
 }
 
-// TestFleetServesWhileTheStoreIsDown keeps confirmations short, so that the nodes have to confirm one another.
+// TestFleetServesWhileTheStoreIsDown sets a short validity of confirmations, so that the nodes must confirm one another's configuration.
 func TestFleetServesWhileTheStoreIsDown(t *testing.T) {
 	f := startMembers(t, 3, func(s *settings.Settings) { s.Platform.Fresh = 3 * time.Second })
 	f.Platform.SetDown(true)
@@ -216,15 +217,15 @@
 	c.readAll(s)
 	f.Nodes[0].Kill()
 	f.Nodes[1].Kill()
-	lonely := newCaller(t, f, "down-2")
+	isolated := newCaller(t, f, "down-2")
 	for err == nil {
-		_, err = lonely.connect(2)
+		_, err = isolated.connect(2)
 		time.Sleep(50 * time.Millisecond)
 	}
 	must.StrContains(t, err.Error(), vaneyoke.CodeNotFresh.Info().Name)
 }
 
-// TestNodeStartsWhileTheTableIsDown has a new node take the configuration from the others.
+// TestNodeStartsWhileTheTableIsDown checks that a new node takes the configuration from the other nodes.
 func TestNodeStartsWhileTheTableIsDown(t *testing.T) {
 	f := startMembers(t, 3, nil)
 	f.Platform.SetTableDown(true)
@@ -232,7 +233,7 @@
 	c := newCaller(t, f, "new-1")
 	var s *client.Stream
 	err := io.EOF
-	for err != nil { // a pause between tries leaves the new node the processor that it needs to ask the others
+	for err != nil { // the delay between attempts leaves the new node enough processor time to query the others
 		must.NoError(t, t.Context().Err())
 		time.Sleep(50 * time.Millisecond)
 		s, err = c.connect(3)
@@ -240,8 +241,8 @@
 	c.readAll(s)
 }
 
-// TestNodeThatKnowsNobodyTakesNoWork starts a node while the whole platform is down.
-func TestNodeThatKnowsNobodyTakesNoWork(t *testing.T) {
+// TestNodeStartedWhilePlatformDownRefusesRequests starts a node that can read neither the configuration nor the list of VMs.
+func TestNodeStartedWhilePlatformDownRefusesRequests(t *testing.T) {
 	f := startMembers(t, 3, nil)
 	f.Platform.SetDown(true)
 	must.NoError(t, f.StartNode(t.Context(), 3))
--- a/tools/fleet/stop_test.go
+++ b/tools/fleet/stop_test.go
@@ -26,24 +26,24 @@
 	"github.com/vaneyoke/vaneyoke/tools/fleet"
 )
 
-// stopping has the first node stop, and returns a function that waits for the end of that.
-func stopping(t *testing.T, f *fleet.Fleet) (wait func() error) {
+// stopFirstNode starts to stop the first node, and returns a function that waits until it has stopped.
+func stopFirstNode(t *testing.T, f *fleet.Fleet) (wait func() error) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- f.Nodes[0].Stop(context.WithoutCancel(t.Context())) }()
 	return func() error { return <-done }
 }
 
-// withShortGrace has nodes judge nothing and stop within a second.
+// withShortGrace disables timeouts and sets the grace period to one second.
 func withShortGrace(c *fleet.Config) {
-	c.Adjust = func(s *settings.Settings) {
-		patient(s)
+	c.AdjustSettings = func(s *settings.Settings) {
+		withoutTimeouts(s)
 		s.Node.Grace, s.Limits.CallSilence, s.Limits.WholeLimit, s.Limits.MaxWait = time.Second, time.Hour, time.Hour, time.Hour
 	}
 }
 
-// waitOpen waits until a node runs a request.
-func waitOpen(t *testing.T, f *fleet.Fleet, node int) {
+// waitRunning waits until a node handles a request.
+func waitRunning(t *testing.T, f *fleet.Fleet, node int) {
 	t.Helper()
 	for {
 		res, err := http.Get(f.Nodes[node].AdminURL() + "/debug/vars")
@@ -60,13 +60,14 @@
 	}
 }
 
-// TestStoppingNodeAnswersEveryCallThatRan has calls come on new and on kept connections until the node is gone.
+// TestStoppingNodeAnswersEveryCallThatRan guards against a call that runs, but whose connection closes without an answer. It sends calls on
+// new and on kept-alive connections until the node has stopped.
 func TestStoppingNodeAnswersEveryCallThatRan(t *testing.T) {
 	const callers = 12
 	f := start(t, withShortGrace)
 	f.Services[0].SetDelay(20 * time.Millisecond)
 	var mu sync.Mutex
-	broken := map[string]error{}
+	unanswered := map[string]error{}
 	var sent atomic.Int64
 	var wait sync.WaitGroup
 	for i := range callers {
@@ -83,26 +84,27 @@
 				}
 				if _, failed := errors.AsType[*client.FailedError](err); err != nil && !failed {
 					mu.Lock()
-					broken[order] = err
+					unanswered[order] = err
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	must.NoError(t, stopping(t, f)())
+	must.NoError(t, stopFirstNode(t, f)())
 	wait.Wait()
 	orders := f.Services[0].Orders()
 	must.MapNotEmpty(t, orders)
-	t.Logf("%d calls sent, %d run, %d closed without an answer", sent.Load(), len(orders), len(broken))
-	for order, err := range broken {
-		must.MapNotContainsKey(t, orders, order, must.Sprintf("the call ran, and its caller was told %v", err))
+	t.Logf("%d calls sent, %d run, %d closed without an answer", sent.Load(), len(orders), len(unanswered))
+	for order, err := range unanswered {
+		must.MapNotContainsKey(t, orders, order, must.Sprintf("the call ran, but its caller got the error %v", err))
 	}
 }
 
-// occupy has nobody listen at the address of a service that was closed. Else a test of another process may: of 504 calls that no service was there
-// for, beside 13 other processes that open ports, one ended with another answer than the node's own; of 2,240 with the address kept, none.
-func occupy(t *testing.T, url string) {
+// reservePort binds the address of a closed service without listening, so that connections to it are refused. Otherwise another process may
+// listen there: next to 13 other processes that open ports, one of 504 calls without a service got an answer that was not the node's own;
+// with the address reserved, none of 2,240 did.
+func reservePort(t *testing.T, url string) {
 	t.Helper()
 	address := netip.MustParseAddrPort(strings.TrimPrefix(url, "http://"))
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -112,28 +114,28 @@
 	must.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}))
 }
 
-// attemptLines are the lines that tell of an attempt's start and of its loss; the first attempt's start has none.
-var attemptLines = regexp.MustCompile(`msg=attempt_(started|lost) .*?attempt=(\d+)`)
+// attemptEvents matches the log events of an attempt's start and loss; the start of the first attempt is not logged.
+var attemptEvents = regexp.MustCompile(`msg=attempt_(started|lost) .*?attempt=(\d+)`)
 
-// underWay reports whether the last attempt that was started had no outcome as its request ended. Of 2,744 calls that no service was there for, six
-// ended in the millisecond in which an attempt was begun.
-func underWay(log string) bool {
+// attemptInProgress reports whether the last attempt had no outcome yet when its request ended. Of 2,744 calls without a service, six ended
+// in the millisecond in which an attempt started.
+func attemptInProgress(log string) bool {
 	last := map[string]int{"started": 1}
-	for _, found := range attemptLines.FindAllStringSubmatch(log, -1) {
+	for _, found := range attemptEvents.FindAllStringSubmatch(log, -1) {
 		number, _ := strconv.Atoi(found[2])
 		last[found[1]] = max(last[found[1]], number)
 	}
 	return last["started"] > last["lost"]
 }
 
-// TestStoppingNodeAnswersWhatIsLeft has a request outlast the grace; its caller has to be told whether it may have run.
-func TestStoppingNodeAnswersWhatIsLeft(t *testing.T) {
-	hang := func(f *fleet.Fleet) { f.Services[0].SetDelay(time.Hour) }
-	gone := func(f *fleet.Fleet) {
+// TestStoppingNodeAnswersRequestsPastGrace checks that a caller whose request outlasts the grace period is told whether the request may have run.
+func TestStoppingNodeAnswersRequestsPastGrace(t *testing.T) {
+	neverAnswer := func(f *fleet.Fleet) { f.Services[0].SetDelay(time.Hour) }
+	closeService := func(f *fleet.Fleet) {
 		_ = f.Services[0].Close()
-		occupy(t, f.Services[0].URL())
+		reservePort(t, f.Services[0].URL())
 	}
-	frozen := func(f *fleet.Fleet) {
+	pauseEngines := func(f *fleet.Fleet) {
 		for _, e := range f.Engines {
 			e.Pause()
 		}
@@ -158,16 +160,16 @@
 	}
 	cases := map[string]struct {
 		before func(*fleet.Fleet)
-		ask    func(context.Context, *client.Client) error
-		gap    time.Duration // between an engine's tokens
+		send   func(context.Context, *client.Client) error
+		gap    time.Duration // between two tokens of an engine
 		codes  []string
 		notRun bool
 	}{
-		"call that hangs":             {hang, call(nil), 0, []string{"may_have_run"}, false},
-		"call with a key that hangs":  {hang, call(http.Header{"Idempotency-Key": {"k"}}), 0, []string{"may_have_run"}, false},
-		"call that was sent nowhere":  {gone, call(nil), 0, []string{"stopping", "no_upstream", "wait_exceeded"}, true},
-		"stream without a first word": {frozen, generate, 0, []string{"interrupted", "may_have_run"}, false},
-		"stream that has begun":       {func(*fleet.Fleet) {}, generate, 500 * time.Millisecond, []string{"interrupted"}, false},
+		"call that hangs":              {neverAnswer, call(nil), 0, []string{"may_have_run"}, false},
+		"call with a key that hangs":   {neverAnswer, call(http.Header{"Idempotency-Key": {"k"}}), 0, []string{"may_have_run"}, false},
+		"call that was never sent":     {closeService, call(nil), 0, []string{"stopping", "no_upstream", "wait_exceeded"}, true},
+		"stream without a first token": {pauseEngines, generate, 0, []string{"interrupted", "may_have_run"}, false},
+		"stream that has started":      {func(*fleet.Fleet) {}, generate, 500 * time.Millisecond, []string{"interrupted"}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -176,19 +178,19 @@
 				withShortGrace(c)
 				c.Log, c.LogLevel = &log, "info"
 				if tc.gap > 0 {
-					c.Engine.Gap = tc.gap
+					c.Engine.TokenInterval = tc.gap
 				}
 			})
 			tc.before(f)
-			heard := make(chan error, 1)
+			result := make(chan error, 1)
 			c := client.New(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, f.Nodes[0].URL(), fleet.CallerKey)
-			go func() { heard <- tc.ask(t.Context(), c) }()
-			waitOpen(t, f, 0)
-			stopped := stopping(t, f)
-			failed, ok := errors.AsType[*client.FailedError](<-heard)
-			_ = stopped() // whether it counts as cut off is not held here
+			go func() { result <- tc.send(t.Context(), c) }()
+			waitRunning(t, f, 0)
+			stopped := stopFirstNode(t, f)
+			failed, ok := errors.AsType[*client.FailedError](<-result)
+			_ = stopped() // whether the stop reports the request as cut off is not checked here
 			must.True(t, ok, must.Sprint("the connection was closed without an answer"))
-			if tc.notRun && underWay(log.String()) { // nobody knows yet whether the upstream takes the connection
+			if tc.notRun && attemptInProgress(log.String()) { // it is not known yet whether the upstream accepts the connection
 				tc.codes, tc.notRun = []string{"may_have_run"}, false
 			}
 			must.SliceContains(t, tc.codes, failed.Detail.Type, must.Sprint(log.String()))
@@ -197,18 +199,18 @@
 	}
 }
 
-// TestStreamThatOutlastsTheGraceGoesOnElsewhere has a stream be interrupted at the end of a node's grace: its caller comes back
-// to another node, which goes on with the same run.
+// TestStreamThatOutlastsTheGraceGoesOnElsewhere interrupts a stream at the end of a node's grace period. Its caller reconnects to another
+// node, which must continue the same run.
 func TestStreamThatOutlastsTheGraceGoesOnElsewhere(t *testing.T) {
 	f := start(t, func(c *fleet.Config) {
 		withShortGrace(c)
-		c.Nodes, c.Engine.Gap = 4, 30*time.Millisecond
+		c.Nodes, c.Engine.TokenInterval = 4, 30*time.Millisecond
 	})
 	c := newCaller(t, f, "key-1")
 	s, err := c.connect(0)
 	must.NoError(t, err)
 	must.NoError(t, c.read(s, 5))
-	stopped := stopping(t, f)
+	stopped := stopFirstNode(t, f)
 	failed, ok := errors.AsType[*client.FailedError](c.read(s, 10*answerTokens))
 	must.True(t, ok)
 	must.EqOp(t, vaneyoke.CodeInterrupted.Info().Name, failed.Detail.Type)
@@ -216,10 +218,11 @@
 	s, err = c.connect(1)
 	must.NoError(t, err)
 	must.SliceEmpty(t, c.readAll(s).Seams)
-	must.Zero(t, cancels(f))
+	must.Zero(t, totalCancels(f))
 }
 
-// TestStoppingNodeAnswersAnOperator stops a node that has committed a change and waits for the others to confirm it.
+// TestStoppingNodeAnswersAnOperator guards against an operator who gets no answer because the node stops after it has committed a change,
+// while it waits for the other nodes to confirm it.
 func TestStoppingNodeAnswersAnOperator(t *testing.T) {
 	f := startMembers(t, 3, func(s *settings.Settings) { s.Node.Grace = 5 * time.Second })
 	f.Nodes[1].Kill()
@@ -227,25 +230,25 @@
 	l, err := dial(t.Context(), f.Nodes[0].AdminURL())
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	o := submit("late", "1s")
+	o := submitPolicy("late", "1s")
 	body, err := json.Marshal(o.body)
 	must.NoError(t, err)
-	raw, _ := post(o.method, o.path, o.key, string(body))
+	raw, _ := rawRequest(o.method, o.path, o.key, string(body))
 	_, err = l.Write(raw)
 	must.NoError(t, err)
-	for len(f.Platform.Rows("policy")) == 0 {
+	for len(f.Platform.RowIDs("policy")) == 0 {
 		must.NoError(t, t.Context().Err())
 		time.Sleep(time.Millisecond)
 	}
-	stopped := stopping(t, f)
-	got, err := l.answer()
-	must.NoError(t, err, must.Sprint("the change is committed, and its operator was told nothing"))
+	stopped := stopFirstNode(t, f)
+	got, err := l.readReply()
+	must.NoError(t, err, must.Sprint("the change is committed, but its operator got no answer"))
 	must.EqOp(t, vaneyoke.CodeNotConfirmed.Info().Name, got.failure.Type)
 	must.NoError(t, stopped())
 }
 
-// TestStoppedNodeHasToldOfEachRequest looks for a line of the log for a call that outlasts the grace.
-func TestStoppedNodeHasToldOfEachRequest(t *testing.T) {
+// TestStoppedNodeHasLoggedEachRequest checks that the end of a call that outlasts the grace period is logged.
+func TestStoppedNodeHasLoggedEachRequest(t *testing.T) {
 	var log lockedBuffer
 	f := start(t, func(c *fleet.Config) {
 		withShortGrace(c)
@@ -255,46 +258,46 @@
 	l, err := dial(t.Context(), f.Nodes[0].URL())
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	raw, _ := reserve("a")
+	raw, _ := rawReserve("a")
 	_, err = l.Write(raw)
 	must.NoError(t, err)
-	waitOpen(t, f, 0)
-	_ = stopping(t, f)()
+	waitRunning(t, f, 0)
+	_ = stopFirstNode(t, f)()
 	must.StrContains(t, log.String(), "session_ended")
 }
 
-// TestStopDoesNotWaitForAHalfRequestOfAnOperator leaves a connection with a part of a request open at the address of
-// metrics; a node that has left the members must not run on for the rest of its grace because of it, nor call that a cut.
-func TestStopDoesNotWaitForAHalfRequestOfAnOperator(t *testing.T) {
+// TestStopDoesNotWaitForIncompleteAdminRequest leaves a connection with an incomplete request open at the admin address. A node that has
+// left the members must neither run for the rest of its grace period because of it, nor report the request as cut off.
+func TestStopDoesNotWaitForIncompleteAdminRequest(t *testing.T) {
 	f := startMembers(t, 2, func(s *settings.Settings) { s.Node.Grace = 8 * time.Second })
 	l, err := dial(t.Context(), f.Nodes[0].AdminURL())
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	raw, at := post("POST", "/debug/pprof/symbol", "none", "0x1+0x2+0x3+0x4")
+	raw, at := rawRequest("POST", "/debug/pprof/symbol", "none", "0x1+0x2+0x3+0x4")
 	_, err = l.Write(raw[:at+1])
 	must.NoError(t, err)
 	time.Sleep(50 * time.Millisecond)
 	began := time.Now()
-	err = stopping(t, f)()
+	err = stopFirstNode(t, f)()
 	t.Logf("the stop took %v, %v", time.Since(began), err)
 	must.Less(t, 4*time.Second, time.Since(began))
 	must.NoError(t, err)
 }
 
-// lockedBuffer is a log that several nodes write.
+// lockedBuffer is a log buffer that several nodes write to.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write adds lines.
+// Write appends to the log.
 func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-// String returns the lines.
+// String returns the log.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/tools/fleet/upstream_leaving_test.go
+++ b/tools/fleet/upstream_leaving_test.go
@@ -15,33 +15,33 @@
 	"github.com/vaneyoke/vaneyoke/wire/store"
 )
 
-// TestLeavingUpstreamGetsNoNewWork has engine 0 leave in each way while it runs an answer.
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+// TestLeavingUpstreamGetsNoNewRequests removes engine 0 from service in each possible way while it generates an answer.
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	drain := func(t *testing.T, f *fleet.Fleet) {
-		code, body := operate(t, f, 1, ordered{method: http.MethodPost, path: "/v1/upstreams/engine-0/drain", key: fleet.OperatorKey})
+		code, body := callOperatorAPI(t, f, 1, operatorCall{method: http.MethodPost, path: "/v1/upstreams/engine-0/drain", key: fleet.OperatorKey})
 		must.EqOp(t, "ok", code, must.Sprint(string(body)))
 	}
 	byPolicy := func(t *testing.T, f *fleet.Fleet) {
-		o := submit("evening", "5s")
+		o := submitPolicy("evening", "5s")
 		o.body = map[string]string{"text": "[policy]\nname = evening\n[drain.now]\nupstreams = engine-0\n"}
-		code, body := operate(t, f, 1, o)
+		code, body := callOperatorAPI(t, f, 1, o)
 		must.EqOp(t, "ok", code, must.Sprint(string(body)))
 	}
-	byList := func(t *testing.T, f *fleet.Fleet) {
+	byVMList := func(t *testing.T, f *fleet.Fleet) {
 		vms, err := f.Platform.Memory.List(t.Context())
 		must.NoError(t, err)
 		f.Platform.Memory.SetVMs(append(vms, store.VM{ID: "engine-vm-0", DataCentre: "hall-a", Leaving: true}))
 	}
 	remove := func(t *testing.T, f *fleet.Fleet) {
-		code, _ := operate(t, f, 1, ordered{method: http.MethodDelete, path: "/v1/upstreams/engine-0", key: fleet.AdminKey})
+		code, _ := callOperatorAPI(t, f, 1, operatorCall{method: http.MethodDelete, path: "/v1/upstreams/engine-0", key: fleet.AdminKey})
 		must.EqOp(t, "ok", code)
 	}
-	for name, leave := range map[string]func(*testing.T, *fleet.Fleet){"drained": drain, "by policy": byPolicy, "by the list of VMs": byList, "removed": remove} {
+	for name, leave := range map[string]func(*testing.T, *fleet.Fleet){"drained": drain, "by policy": byPolicy, "by the list of VMs": byVMList, "removed": remove} {
 		t.Run(name, func(t *testing.T) {
 			f := startMembers(t, 3, nil)
-			running := answerOnEngine0(t, f)
+			finishAnswer := answerOnEngine0(t, f)
 			leave(t, f)
-			waitUntilAvoided(t, f)
+			waitEngine0Excluded(t, f)
 			before := f.Engines[0].Stats().Runs
 			for i := range 24 {
 				c := newCaller(t, f, fmt.Sprintf("after-%d", i))
@@ -51,15 +51,15 @@
 				must.ErrorIs(t, c.read(s, 100), io.EOF)
 			}
 			must.EqOp(t, before, f.Engines[0].Stats().Runs)
-			running()
+			finishAnswer()
 		})
 	}
 }
 
-// answerOnEngine0 starts an answer on engine 0, and returns a function that reads its rest and checks that nothing was cut off.
+// answerOnEngine0 starts an answer on engine 0, and returns a function that reads the rest and checks that it was not interrupted.
 func answerOnEngine0(t *testing.T, f *fleet.Fleet) func() {
 	t.Helper()
-	setVM(t, f)
+	setEngine0VM(t, f)
 	for i := 0; ; i++ {
 		before := f.Engines[0].Stats().Runs
 		c := newCaller(t, f, fmt.Sprintf("before-%d", i))
@@ -73,8 +73,8 @@
 	}
 }
 
-// setVM names the VM that engine 0 runs on.
-func setVM(t *testing.T, f *fleet.Fleet) {
+// setEngine0VM configures the VM that engine 0 runs on.
+func setEngine0VM(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	u := f.Upstreams()[0]
 	u.VM = "engine-vm-0"
@@ -92,8 +92,8 @@
 	}
 }
 
-// waitUntilAvoided waits until no node would send engine 0 new work, and bounds that by the polls and not by a clock.
-func waitUntilAvoided(t *testing.T, f *fleet.Fleet) {
+// waitEngine0Excluded waits until no node would send new requests to engine 0. It has no timeout of its own, because the wait depends on polls.
+func waitEngine0Excluded(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	for _, n := range f.Nodes {
 		for n.TakesWork(vaneyoke.UpstreamID("engine-0")) {
--- a/tools/load/caller.go
+++ b/tools/load/caller.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	reconnectPause = 20 * time.Millisecond
+	reconnectDelay = 20 * time.Millisecond
 	maxReconnects  = 50
 )
 
-// caller sends one request and reads its answer, over as many connections as it takes.
+// caller sends one request and reads its answer, reconnecting as often as necessary.
 type caller struct {
 	runner *runner
 	kind   Kind
@@ -32,28 +32,28 @@
 	length vaneyoke.Tokens
 	req    client.Request
 
-	text       strings.Builder
-	cursor     string
-	begun      time.Time
-	last       time.Time
-	longest    time.Duration
-	first      time.Duration
-	gaps       []time.Duration
-	reconnects int
-	reason     vaneyoke.FinishReason
+	text        strings.Builder
+	cursor      string
+	startedAt   time.Time
+	lastText    time.Time
+	longestGap  time.Duration
+	timeToFirst time.Duration
+	gaps        []time.Duration
+	reconnects  int
+	reason      vaneyoke.FinishReason
 }
 
 func (r *runner) newCaller(i int) *caller {
-	kind := r.pick()
+	kind := r.pickKind()
 	c := &caller{runner: r, kind: kind, id: fmt.Sprintf("load-%d-%d", r.config.Seed, i), node: r.rng.IntN(len(r.target.Nodes()))}
-	if kind.Tokens > 0 {
-		c.length = vaneyoke.Tokens(1 + kind.Tokens/2 + r.rng.IntN(kind.Tokens))
-		c.req = client.Request{Model: fleet.Model, Messages: []openai.Message{{Role: "user", Content: promptText(r.rng, kind.Words, c.id, c.length)}}}
+	if kind.MeanTokens > 0 {
+		c.length = vaneyoke.Tokens(1 + kind.MeanTokens/2 + r.rng.IntN(kind.MeanTokens))
+		c.req = client.Request{Model: fleet.Model, Messages: []openai.Message{{Role: "user", Content: promptText(r.rng, kind.PromptWords, c.id, c.length)}}}
 	}
 	return c
 }
 
-// promptText returns a prompt that no other request has, and that tells how long the answer is.
+// promptText returns a prompt that is unique to the request and that sets the length of the answer.
 func promptText(rng *rand.Rand, words int, id string, length vaneyoke.Tokens) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s length=%d", id, length)
@@ -66,40 +66,40 @@
 func (c *caller) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.runner.config.Timeout)
 	defer cancel()
-	c.begun = time.Now()
-	if c.kind.Tokens == 0 {
-		c.order(ctx)
+	c.startedAt = time.Now()
+	if c.kind.MeanTokens == 0 {
+		c.callService(ctx)
 		return
 	}
 	err := c.generate(ctx)
-	c.runner.rec.generated(c, err)
+	c.runner.recorder.recordAnswer(c, err)
 }
 
-// client returns a client of the node that the balancer would choose now.
+// client returns a client of the next node; each reconnection goes to another node, as behind a load balancer.
 func (c *caller) client() *client.Client {
 	nodes := c.runner.target.Nodes()
 	return client.New(c.runner.http, nodes[(c.node+c.reconnects)%len(nodes)], c.runner.target.Key())
 }
 
-// generate reads the whole answer; a connection that breaks is taken up again at the next node.
+// generate reads the whole answer; after a lost connection it resumes at the next node.
 func (c *caller) generate(ctx context.Context) error {
 	for {
 		err := c.connect(ctx)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		if failed, ok := errors.AsType[*client.FailedError](err); ok && !comesBack(failed) {
+		if failed, ok := errors.AsType[*client.FailedError](err); ok && !shouldReconnect(failed) {
 			return err
 		}
 		if c.reconnects++; c.reconnects > maxReconnects {
 			return err
 		}
-		time.Sleep(reconnectPause)
+		time.Sleep(reconnectDelay)
 	}
 }
 
-// comesBack reports whether a failure is one after which a caller tries another node.
-func comesBack(failed *client.FailedError) bool {
+// shouldReconnect reports whether a caller tries another node after this failure.
+func shouldReconnect(failed *client.FailedError) bool {
 	switch failed.Detail.Type {
 	case "stopping", "not_fresh", "superseded":
 		return true
@@ -117,64 +117,64 @@
 		return err
 	}
 	defer func() { _ = stream.Close() }()
-	for piece, err := range stream.All() {
+	for chunk, err := range stream.All() {
 		if err != nil {
 			return err
 		}
-		c.take(time.Now(), piece)
+		c.receive(time.Now(), chunk)
 	}
 	return nil
 }
 
-func (c *caller) take(now time.Time, piece client.Piece) {
-	if piece.Reason != "" {
-		c.reason = piece.Reason
+func (c *caller) receive(now time.Time, chunk client.Chunk) {
+	if chunk.Reason != "" {
+		c.reason = chunk.Reason
 	}
-	if piece.Text == "" {
+	if chunk.Text == "" {
 		return
 	}
-	if piece.Cursor != "" {
-		c.cursor = piece.Cursor
+	if chunk.Cursor != "" {
+		c.cursor = chunk.Cursor
 	}
-	if c.last.IsZero() {
-		c.first = now.Sub(c.begun)
+	if c.lastText.IsZero() {
+		c.timeToFirst = now.Sub(c.startedAt)
 	} else {
-		gap := now.Sub(c.last)
+		gap := now.Sub(c.lastText)
 		c.gaps = append(c.gaps, gap)
-		c.longest = max(c.longest, gap)
+		c.longestGap = max(c.longestGap, gap)
 	}
-	c.last = now
-	c.text.WriteString(piece.Text)
+	c.lastText = now
+	c.text.WriteString(chunk.Text)
 }
 
-// generated checks an answer and records it.
-func (r *recorder) generated(c *caller, err error) {
+// recordAnswer checks an answer and records it.
+func (r *recorder) recordAnswer(c *caller, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	prompt := check.Tokenize(standin.ChatPrompt(c.req.Messages))
-	report, broken := check.Answer(prompt, c.text.String())
-	if broken != nil {
-		r.violation("%s: %s", c.id, broken)
+	report, violation := check.Answer(prompt, c.text.String())
+	if violation != nil {
+		r.violation("%s: %s", c.id, violation)
 	}
 	r.result.Tokens += int64(report.Tokens)
 	r.result.Reconnects += c.reconnects
 	if err != nil {
-		r.result.Failures[nameOf(err)]++
+		r.result.Failures[failureName(err)]++
 		return
 	}
 	r.checkEnd(c, report)
 	r.result.Answers++
 	r.result.Seams += len(report.Seams)
-	record(r.first, c.first)
+	record(r.first, c.timeToFirst)
 	for _, gap := range c.gaps {
-		record(r.between, gap)
+		record(r.betweenTokens, gap)
 	}
 	if len(report.Seams) > 0 || c.reconnects > 0 {
-		record(r.resume, c.longest)
+		record(r.resume, c.longestGap)
 	}
 }
 
-// checkEnd holds the end of an answer against that of an undisturbed one; its last token may have to finish a character.
+// checkEnd checks the length and finish reason of an answer. One token more than requested is allowed, because it may have to complete a character.
 func (r *recorder) checkEnd(c *caller, report check.Report) {
 	if report.Tokens < c.length || report.Tokens > c.length+1 {
 		r.violation("%s: %d tokens in place of %d", c.id, report.Tokens, c.length)
@@ -184,7 +184,7 @@
 	}
 }
 
-func nameOf(err error) string {
+func failureName(err error) string {
 	if failed, ok := errors.AsType[*client.FailedError](err); ok {
 		return failed.Detail.Type
 	}
@@ -194,30 +194,30 @@
 	return "connection"
 }
 
-// order makes a call that may run at most once; it is not repeated.
-func (c *caller) order(ctx context.Context) {
+// callService makes a call that may run at most once; it is not retried.
+func (c *caller) callService(ctx context.Context) {
 	body, err := json.Marshal(standin.ServiceCall{Order: c.id})
 	if err != nil {
 		panic("load: order does not encode: " + err.Error())
 	}
 	raw, err := c.client().Call(ctx, fleet.Service, "reserve", body, nil)
-	rec := c.runner.rec
-	rec.mu.Lock()
-	defer rec.mu.Unlock()
-	rec.told[c.id] = told(err)
+	recorder := c.runner.recorder
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.reported[c.id] = reportedOutcome(err)
 	if err != nil {
-		rec.result.Failures[nameOf(err)]++
+		recorder.result.Failures[failureName(err)]++
 		return
 	}
 	var answer standin.ServiceAnswer
 	if json.Unmarshal(raw, &answer) != nil || answer.Order != c.id {
-		rec.violation("%s: got the answer %q", c.id, raw)
+		recorder.violation("%s: got the answer %q", c.id, raw)
 	}
-	rec.result.Answers++
-	record(rec.callTimes, time.Since(c.begun))
+	recorder.result.Answers++
+	record(recorder.callTimes, time.Since(c.startedAt))
 }
 
-func told(err error) outcome {
+func reportedOutcome(err error) outcome {
 	if err == nil {
 		return outcomeDone
 	}
--- a/tools/load/doc.go
+++ b/tools/load/doc.go
@@ -1,2 +1,2 @@
-// Package load sends an open load of checked requests to a fleet, breaks parts of it at given times, and measures what callers see.
+// Package load is an open-loop load generator: it sends requests to a fleet at a given rate, injects faults at given times, checks every answer, and measures the latencies that callers see.
 package load
--- a/tools/load/embedded.go
+++ b/tools/load/embedded.go
@@ -11,14 +11,14 @@
 	"github.com/vaneyoke/vaneyoke/tools/fleet"
 )
 
-// Embedded is a fleet in this process.
+// Embedded is a target that runs in this process.
 type Embedded struct {
 	mu    sync.Mutex
 	fleet *fleet.Fleet
 	nodes []string
 }
 
-// NewEmbedded returns a target over a fleet.
+// NewEmbedded returns a target for a fleet in this process.
 func NewEmbedded(f *fleet.Fleet) *Embedded {
 	e := &Embedded{fleet: f}
 	for _, n := range f.Nodes {
@@ -27,18 +27,18 @@
 	return e
 }
 
-// Nodes returns the addresses of the nodes.
+// Nodes returns the base URLs of the nodes.
 func (e *Embedded) Nodes() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.nodes
 }
 
-// Key returns the caller key.
+// Key returns the callers' API key.
 func (e *Embedded) Key() string { return fleet.CallerKey }
 
-// Break carries out a fault; nodes can be killed and restarted.
-func (e *Embedded) Break(ctx context.Context, f Fault) error {
+// InjectFault injects a fault; nodes support kill, stop and restart.
+func (e *Embedded) InjectFault(ctx context.Context, f Fault) error {
 	kind, digits, _ := strings.Cut(f.Target, "-")
 	i, _ := strconv.Atoi(digits)
 	switch {
@@ -49,12 +49,12 @@
 	case kind == "service" && i < len(e.fleet.Services):
 		return PostFault(ctx, e.fleet.Services[i].URL(), f)
 	case kind == "node" && i < len(e.fleet.Nodes):
-		return e.breakNode(ctx, i, f)
+		return e.injectNodeFault(ctx, i, f)
 	}
-	return fmt.Errorf("no target %s", f.Target)
+	return fmt.Errorf("unknown fault target %s", f.Target)
 }
 
-func (e *Embedded) breakNode(ctx context.Context, i int, f Fault) error {
+func (e *Embedded) injectNodeFault(ctx context.Context, i int, f Fault) error {
 	switch f.Fault {
 	case "kill":
 		e.fleet.Nodes[i].Kill()
@@ -72,19 +72,19 @@
 		e.nodes = nodes
 		return nil
 	}
-	return vaneyoke.Err(vaneyoke.CodeUsage, "a node knows kill, stop and restart, not %s", f.Fault)
+	return vaneyoke.Err(vaneyoke.CodeUsage, "a node supports the faults kill, stop and restart, not %s", f.Fault)
 }
 
-// Decoded returns how many tokens the engines have generated.
-func (e *Embedded) Decoded(context.Context) (int64, bool) {
+// DecodedTokens returns how many tokens the engines have generated.
+func (e *Embedded) DecodedTokens(context.Context) (int64, bool) {
 	var tokens int64
 	for _, engine := range e.fleet.Engines {
-		tokens += engine.Stats().Decode
+		tokens += engine.Stats().DecodedTokens
 	}
 	return tokens, true
 }
 
-// Orders returns how often the services carried out each order.
+// Orders returns how often the services executed each order.
 func (e *Embedded) Orders(context.Context) (map[string]int, bool) {
 	orders := map[string]int{}
 	for _, s := range e.fleet.Services {
--- a/tools/load/load_test.go
+++ b/tools/load/load_test.go
@@ -22,17 +22,17 @@
 	"github.com/vaneyoke/vaneyoke/tools/standin"
 )
 
-// tokensOf returns the texts of the tokens of an undisturbed answer; an unfinished character is held back.
-func tokensOf(prompt []vaneyoke.TokenID, salt check.Salt) []string {
-	length, _, _ := check.Length(prompt)
+// tokenTexts returns the text of each token of a correct answer. A token that ends within a character is joined with the next one.
+func tokenTexts(prompt []vaneyoke.TokenID, salt check.Salt) []string {
+	length, _, _ := check.AnswerLength(prompt)
 	var texts []string
 	var text []byte
-	chain, last := check.ChainOf(prompt), prompt[len(prompt)-1]
-	for n := vaneyoke.Tokens(1); n <= length || check.Opens(last); n++ {
-		last = check.Next(chain, last, salt)
-		chain = chain.Append(last)
+	prefix, last := check.HashPrefix(prompt), prompt[len(prompt)-1]
+	for n := vaneyoke.Tokens(1); n <= length || check.EndsMidCharacter(last); n++ {
+		last = check.NextToken(prefix, last, salt)
+		prefix = prefix.Append(last)
 		text = check.AppendText(text, last)
-		if !check.Opens(last) {
+		if !check.EndsMidCharacter(last) {
 			texts = append(texts, string(text))
 			text = nil
 		}
@@ -40,18 +40,18 @@
 	return texts
 }
 
-// breakage spoils an answer, given another answer to the same request and one to another request.
-type breakage func(texts, again, other []string) []string
+// corruption corrupts an answer, given the answer of another run to the same request and an answer to another request.
+type corruption func(texts, again, other []string) []string
 
-func TestCheckerCatchesABrokenRelay(t *testing.T) {
+func TestCheckerDetectsCorruptAnswers(t *testing.T) {
 	cases := map[string]struct {
-		spoil breakage
-		bad   bool
+		corrupt   corruption
+		violation bool
 	}{
 		"whole":           {func(texts, _, _ []string) []string { return texts }, false},
 		"token missing":   {func(texts, _, _ []string) []string { return append(texts[:4:4], texts[5:]...) }, true},
 		"token repeated":  {func(texts, _, _ []string) []string { return append(texts[:5:5], texts[4:]...) }, true},
-		"tokens crossed":  {func(texts, _, _ []string) []string { texts[4], texts[5] = texts[5], texts[4]; return texts }, true},
+		"tokens swapped":  {func(texts, _, _ []string) []string { texts[4], texts[5] = texts[5], texts[4]; return texts }, true},
 		"two runs mixed":  {func(texts, again, _ []string) []string { return append(texts[:5:5], again[5:]...) }, true},
 		"another answer":  {func(_, _, other []string) []string { return other }, true},
 		"end is missing":  {func(texts, _, _ []string) []string { return texts[:len(texts)-2] }, true},
@@ -60,21 +60,21 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			node := httptest.NewServer(brokenNode(tc.spoil))
+			node := httptest.NewServer(corruptingNode(tc.corrupt))
 			defer node.Close()
 			config := load.DefaultConfig()
 			config.Rate, config.Duration = 200, 50*time.Millisecond
-			config.Kinds = []load.Kind{{Name: "lookup", Share: 1, Tokens: 20, Words: 3}}
+			config.Kinds = []load.Kind{{Name: "lookup", Share: 1, MeanTokens: 20, PromptWords: 3}}
 			result, err := load.Run(t.Context(), config, &load.Remote{URLs: []string{node.URL}, Caller: "k"})
 			must.NoError(t, err)
 			must.Greater(t, 0, result.Sent)
-			must.EqOp(t, tc.bad, result.Violations > 0, must.Sprint(result.Examples))
+			must.EqOp(t, tc.violation, result.Violations > 0, must.Sprint(result.ViolationExamples))
 		})
 	}
 }
 
-// brokenNode answers chats with spoilt answers.
-func brokenNode(spoil breakage) http.Handler {
+// corruptingNode sends corrupted answers to chat requests.
+func corruptingNode(corrupt corruption) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req client.Request
 		if json.NewDecoder(r.Body).Decode(&req) != nil {
@@ -83,7 +83,7 @@
 		}
 		prompt := check.Tokenize(standin.ChatPrompt(req.Messages))
 		other := check.Tokenize("another prompt length=20")
-		for _, text := range spoil(tokensOf(prompt, 1), tokensOf(prompt, 2), tokensOf(other, 3)) {
+		for _, text := range corrupt(tokenTexts(prompt, 1), tokenTexts(prompt, 2), tokenTexts(other, 3)) {
 			raw, _ := json.Marshal(text)
 			fmt.Fprintf(w, "data: {\"choices\":[{\"delta\":{\"content\":%s}}]}\n\n", raw)
 		}
@@ -91,14 +91,14 @@
 	})
 }
 
-// TestPromisesHoldUnderFaults checks counts only, so that its verdict does not depend on the machine's speed.
-func TestPromisesHoldUnderFaults(t *testing.T) {
+// TestNoViolationsUnderFaults injects faults into engines, nodes, services and the platform. It checks counts only, so that its result does not depend on the machine's speed.
+func TestNoViolationsUnderFaults(t *testing.T) {
 	engine := standin.DefaultEngineConfig()
-	engine.Gap = 2 * time.Millisecond
+	engine.TokenInterval = 2 * time.Millisecond
 	f, err := fleet.Start(t.Context(), fleet.Config{
 		Nodes: 4, Engines: 4, Services: 2, Engine: engine, Recovery: vaneyoke.RecoverFast,
-		Log: t.Output(), LogLevel: "error", Trace: "off",
-		Adjust: func(s *settings.Settings) { s.Recovery.Floor, s.Platform.Fresh = 100*time.Millisecond, time.Hour },
+		Log: t.Output(), LogLevel: "error", TraceOutput: "off",
+		AdjustSettings: func(s *settings.Settings) { s.Recovery.Floor, s.Platform.Fresh = 100*time.Millisecond, time.Hour },
 	})
 	must.NoError(t, err)
 	defer f.Close()
@@ -116,7 +116,7 @@
 	}
 	result, err := load.Run(t.Context(), config, load.NewEmbedded(f))
 	must.NoError(t, err)
-	must.Zero(t, result.Violations, must.Sprint(result.Examples))
+	must.Zero(t, result.Violations, must.Sprint(result.ViolationExamples))
 	must.Greater(t, 100, result.Answers)
 	must.Greater(t, 0, result.Seams)
 	must.Greater(t, 0, result.Reconnects)
@@ -143,7 +143,7 @@
 				return
 			}
 			must.EqOp(t, 5, config.Rate)
-			must.Eq(t, []load.Kind{{Name: "long", Share: 1, Tokens: 9}}, config.Kinds)
+			must.Eq(t, []load.Kind{{Name: "long", Share: 1, MeanTokens: 9}}, config.Kinds)
 			must.Eq(t, []load.Fault{{At: 2 * time.Second, Target: "engine-0", Fault: "kill"}}, config.Faults)
 		})
 	}
--- a/tools/load/remote.go
+++ b/tools/load/remote.go
@@ -5,30 +5,30 @@
 	"fmt"
 )
 
-// Remote is a fleet in other processes.
+// Remote is a target that runs in other processes.
 type Remote struct {
-	URLs     []string          // of the nodes or the balancer
-	Caller   string            // caller key
-	StandIns map[string]string // addresses of stand-ins by name
+	URLs     []string          // base URLs of the nodes or of the load balancer
+	Caller   string            // API key of the callers
+	StandIns map[string]string // base URLs of the stand-ins, by name
 }
 
-// Nodes returns the addresses of the nodes.
+// Nodes returns the base URLs of the nodes.
 func (r *Remote) Nodes() []string { return r.URLs }
 
-// Key returns the caller key.
+// Key returns the callers' API key.
 func (r *Remote) Key() string { return r.Caller }
 
-// Break orders a fault of a stand-in.
-func (r *Remote) Break(ctx context.Context, f Fault) error {
+// InjectFault injects a fault into a stand-in.
+func (r *Remote) InjectFault(ctx context.Context, f Fault) error {
 	url, ok := r.StandIns[f.Target]
 	if !ok {
-		return fmt.Errorf("no target %s", f.Target)
+		return fmt.Errorf("unknown fault target %s", f.Target)
 	}
 	return PostFault(ctx, url, f)
 }
 
-// Decoded is not known of a fleet in other processes.
-func (r *Remote) Decoded(context.Context) (int64, bool) { return 0, false }
+// DecodedTokens reports false: the count is not available from other processes.
+func (r *Remote) DecodedTokens(context.Context) (int64, bool) { return 0, false }
 
-// Orders are not known of a fleet in other processes.
+// Orders reports false: the counts are not available from other processes.
 func (r *Remote) Orders(context.Context) (map[string]int, bool) { return nil, false }
--- a/tools/load/run.go
+++ b/tools/load/run.go
@@ -11,54 +11,54 @@
 	"github.com/vaneyoke/vaneyoke/internal/pause"
 )
 
-const idleConnsEach = 512
+const idleConnsPerHost = 512
 
 // runner is one load in progress.
 type runner struct {
-	config Config
-	target Target
-	http   *http.Client
-	rec    *recorder
-	rng    *rand.Rand
-	open   chan struct{}
-	work   sync.WaitGroup
+	config       Config
+	target       Target
+	http         *http.Client
+	recorder     *recorder
+	rng          *rand.Rand
+	openRequests chan struct{}
+	requests     sync.WaitGroup
 }
 
-// Run sends the load and returns what it came to; a load that cannot be run is told with CodeUsage.
+// Run sends the load and returns its result. It returns an error with CodeUsage if the load cannot be run or a fault cannot be injected.
 func Run(ctx context.Context, config Config, target Target) (Result, error) {
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return Result{}, err
 	}
 	r := &runner{
-		config: config,
-		target: target,
-		http:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsEach}},
-		rec:    newRecorder(),
-		rng:    rand.New(rand.NewPCG(config.Seed, config.Seed)),
-		open:   make(chan struct{}, config.Open),
+		config:       config,
+		target:       target,
+		http:         &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost}},
+		recorder:     newRecorder(),
+		rng:          rand.New(rand.NewPCG(config.Seed, config.Seed)),
+		openRequests: make(chan struct{}, config.MaxOpen),
 	}
 	defer r.http.CloseIdleConnections()
-	before, counted := target.Decoded(ctx)
+	before, counted := target.DecodedTokens(ctx)
 	faults, stop := context.WithCancel(ctx)
-	broken := make(chan error, 1)
-	go func() { broken <- r.breakThings(faults) }()
-	r.arrivals(ctx)
-	r.work.Wait()
+	faultsDone := make(chan error, 1)
+	go func() { faultsDone <- r.injectFaults(faults) }()
+	r.sendRequests(ctx)
+	r.requests.Wait()
 	stop()
-	if err := <-broken; err != nil {
+	if err := <-faultsDone; err != nil {
 		return Result{}, err
 	}
-	orders, known := target.Orders(ctx)
+	orders, ordersKnown := target.Orders(ctx)
 	var decoded *int64
-	if after, ok := target.Decoded(ctx); ok && counted {
+	if after, ok := target.DecodedTokens(ctx); ok && counted {
 		after -= before
 		decoded = &after
 	}
-	return r.rec.finish(orders, known, decoded), nil
+	return r.recorder.finish(orders, ordersKnown, decoded), nil
 }
 
-// arrivals starts requests at random times that do not depend on the answers.
-func (r *runner) arrivals(ctx context.Context) {
+// sendRequests starts requests as a Poisson process, independently of the answers.
+func (r *runner) sendRequests(ctx context.Context) {
 	start := time.Now()
 	next := start
 	for i := 0; ; i++ {
@@ -68,34 +68,34 @@
 		}
 		c := r.newCaller(i)
 		select {
-		case r.open <- struct{}{}:
-			r.rec.sent()
-			r.work.Go(func() {
-				defer func() { <-r.open }()
+		case r.openRequests <- struct{}{}:
+			r.recorder.countSent()
+			r.requests.Go(func() {
+				defer func() { <-r.openRequests }()
 				c.run(ctx)
 			})
 		default:
-			r.rec.notSent()
+			r.recorder.countNotSent()
 		}
 	}
 }
 
-// breakThings carries out the faults at their times.
-func (r *runner) breakThings(ctx context.Context) error {
+// injectFaults injects the faults at their times.
+func (r *runner) injectFaults(ctx context.Context) error {
 	start := time.Now()
 	for _, f := range r.config.Faults {
 		if !pause.For(ctx, time.Until(start.Add(f.At))) {
 			return nil
 		}
-		if err := r.target.Break(ctx, f); err != nil && ctx.Err() == nil {
+		if err := r.target.InjectFault(ctx, f); err != nil && ctx.Err() == nil {
 			return vaneyoke.WrapErr(vaneyoke.CodeUsage, err, "fault %s", f)
 		}
 	}
 	return nil
 }
 
-// pick returns a kind at random by the shares.
-func (r *runner) pick() Kind {
+// pickKind returns a random kind, weighted by share.
+func (r *runner) pickKind() Kind {
 	total := 0.0
 	for _, k := range r.config.Kinds {
 		total += k.Share
@@ -109,13 +109,13 @@
 	return r.config.Kinds[len(r.config.Kinds)-1]
 }
 
-func (r *recorder) sent() {
+func (r *recorder) countSent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Sent++
 }
 
-func (r *recorder) notSent() {
+func (r *recorder) countNotSent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.NotSent++
--- a/tools/load/target.go
+++ b/tools/load/target.go
@@ -10,21 +10,21 @@
 	"github.com/vaneyoke/vaneyoke/tools/standin"
 )
 
-// Target is the fleet that the load goes to.
+// Target is the fleet that a load is sent to.
 type Target interface {
-	// Nodes returns the addresses of the nodes.
+	// Nodes returns the base URLs of the nodes.
 	Nodes() []string
-	// Key returns the caller key.
+	// Key returns the callers' API key.
 	Key() string
-	// Break carries out a fault.
-	Break(ctx context.Context, f Fault) error
-	// Decoded returns how many tokens the engines have generated, if that is known.
-	Decoded(ctx context.Context) (int64, bool)
-	// Orders returns how often the services carried out each order, if that is known.
+	// InjectFault injects or ends a fault.
+	InjectFault(ctx context.Context, f Fault) error
+	// DecodedTokens returns how many tokens the engines have generated, and whether that is known.
+	DecodedTokens(ctx context.Context) (int64, bool)
+	// Orders returns how often the services executed each order, and whether that is known.
 	Orders(ctx context.Context) (map[string]int, bool)
 }
 
-// PostFault orders a fault of the stand-in at url.
+// PostFault injects a fault into the stand-in at url.
 func PostFault(ctx context.Context, url string, f Fault) error {
 	body, err := json.Marshal(standin.Fault{Fault: f.Fault, Factor: f.Factor, Count: int(f.Factor)})
 	if err != nil {
--- a/tools/standin/cache.go
+++ b/tools/standin/cache.go
@@ -12,39 +12,39 @@
 	cacheBlocks = 4096
 )
 
-// prefixCache remembers the blocks of the latest prompts.
+// prefixCache holds the hashes of the most recent prompt blocks, as an engine's prefix cache does.
 type prefixCache struct {
 	mu     sync.Mutex
-	blocks map[check.Chain]struct{}
-	order  []check.Chain
+	blocks map[check.PrefixHash]struct{}
+	order  []check.PrefixHash
 }
 
-// add returns how many tokens of the prompt were cached, and caches it.
+// add caches the blocks of a prompt and returns how many of its tokens were cached before.
 func (c *prefixCache) add(prompt []vaneyoke.TokenID) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.blocks == nil {
-		c.blocks = map[check.Chain]struct{}{}
+		c.blocks = map[check.PrefixHash]struct{}{}
 	}
 	hits := 0
-	var chain check.Chain
+	var prefix check.PrefixHash
 	for i, id := range prompt {
-		chain = chain.Append(id)
+		prefix = prefix.Append(id)
 		if (i+1)%blockTokens != 0 {
 			continue
 		}
-		if _, ok := c.blocks[chain]; ok {
+		if _, ok := c.blocks[prefix]; ok {
 			hits = i + 1
 			continue
 		}
-		c.insert(chain)
+		c.insert(prefix)
 	}
 	return hits
 }
 
-func (c *prefixCache) insert(chain check.Chain) {
-	c.blocks[chain] = struct{}{}
-	c.order = append(c.order, chain)
+func (c *prefixCache) insert(prefix check.PrefixHash) {
+	c.blocks[prefix] = struct{}{}
+	c.order = append(c.order, prefix)
 	if len(c.order) > cacheBlocks {
 		delete(c.blocks, c.order[0])
 		c.order = c.order[1:]
--- a/tools/standin/doc.go
+++ b/tools/standin/doc.go
@@ -1,2 +1,2 @@
-// Package standin holds small fakes of what a node speaks to: a model engine, a plain service and the platform.
+// Package standin holds test doubles for the servers that a node depends on: a model engine, a plain service and the platform.
 package standin
--- a/tools/standin/engine.go
+++ b/tools/standin/engine.go
@@ -16,57 +16,57 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// EngineConfig says how fast and how large a stand-in engine is.
+// EngineConfig sets the speed, capacity and faults of a stand-in engine.
 type EngineConfig struct {
-	Gap     time.Duration // time between tokens
-	Prefill time.Duration // time for each prompt token that is not cached
-	Slots   int           // runs at once; others wait
-	Chunk   int           // tokens in an event
-	Orphan  time.Duration // how long a run goes on without a reader
-	Ends    string        // text in a prompt that ends the engine as it begins to run it; "" for none
-	Down    time.Duration // for which the engine is away then
+	TokenInterval   time.Duration // time between tokens
+	PrefillPerToken time.Duration // for each prompt token that is not cached
+	Slots           int           // maximum number of concurrent runs; others wait
+	ChunkTokens     int           // tokens in each event
+	OrphanTimeout   time.Duration // how long a run continues without a reader
+	CrashText       string        // the engine crashes when it starts to run a prompt that contains this text; "" for none
+	RestartTime     time.Duration // how long the engine refuses connections after such a crash
 }
 
-// DefaultEngineConfig returns an engine that gives a token each 5 ms.
+// DefaultEngineConfig returns the configuration of an engine that generates a token every 5 ms.
 func DefaultEngineConfig() EngineConfig {
-	return EngineConfig{Gap: 5 * time.Millisecond, Prefill: 20 * time.Microsecond, Slots: 64, Chunk: 1, Orphan: 2 * time.Second}
+	return EngineConfig{TokenInterval: 5 * time.Millisecond, PrefillPerToken: 20 * time.Microsecond, Slots: 64, ChunkTokens: 1, OrphanTimeout: 2 * time.Second}
 }
 
-// EngineStats counts what an engine did.
+// EngineStats holds an engine's counters.
 type EngineStats struct {
-	Runs      int64 `json:"runs"`
-	Prefill   int64 `json:"prefill_tokens"`
-	Decode    int64 `json:"decode_tokens"`
-	Cancels   int64 `json:"cancels"`
-	CacheHits int64 `json:"cache_hit_tokens"`
-	Resumes   int64 `json:"resumes"`
-	Open      int64 `json:"open_runs"`
-	Crashes   int64 `json:"crashes"`
+	Runs           int64 `json:"runs"`
+	PrefillTokens  int64 `json:"prefill_tokens"`
+	DecodedTokens  int64 `json:"decode_tokens"`
+	Cancels        int64 `json:"cancels"`
+	CacheHitTokens int64 `json:"cache_hit_tokens"`
+	Resumes        int64 `json:"resumes"`
+	OpenRuns       int64 `json:"open_runs"`
+	Crashes        int64 `json:"crashes"`
 }
 
 // Engine is a stand-in model engine.
 type Engine struct {
 	server
-	config EngineConfig
-	slots  chan struct{}
-	cache  prefixCache
-	slow   atomic.Uint64 // percent of the usual time
-	bad    atomic.Int64  // malformed events to send
-	errs   atomic.Int64  // error events to send
+	config          EngineConfig
+	slots           chan struct{}
+	cache           prefixCache
+	durationPercent atomic.Uint64 // duration of each step in percent of its normal duration
+	malformedEvents atomic.Int64  // number of malformed events still to send
+	errorEvents     atomic.Int64  // number of error events still to send
 
 	runsMu sync.Mutex
 	runs   map[string]*engineRun
 
-	started, prefill, decode, cancels, hits, resumes, crashes atomic.Int64
+	started, prefill, decode, cancels, cacheHits, resumes, crashes atomic.Int64
 }
 
-// usualSpeed is the percentage at which nothing is slowed down.
-const usualSpeed = 100
+// normalPercent is the value of durationPercent at which nothing is slowed down.
+const normalPercent = 100
 
-// NewEngine starts an engine on address.
+// NewEngine starts an engine that listens on address.
 func NewEngine(address string, config EngineConfig) (*Engine, error) {
 	e := &Engine{config: config, slots: make(chan struct{}, config.Slots), runs: map[string]*engineRun{}}
-	e.slow.Store(usualSpeed)
+	e.durationPercent.Store(normalPercent)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+openai.PathChat, e.generate)
 	mux.HandleFunc("POST "+openai.PathCompletions, e.generate)
@@ -77,27 +77,27 @@
 	return e, err
 }
 
-// salts counts the runs of all engines in this process; runs that follow one another have different salts.
+// salts is incremented for each run of any engine in this process, so that consecutive runs have different salts.
 var salts atomic.Uint32
 
 func init() { salts.Store(rand.Uint32()) }
 
 func nextSalt() check.Salt { return check.Salt(salts.Add(1)) }
 
-func (e *Engine) faults() faultList {
-	return faultList{
+func (e *Engine) faults() faultHandlers {
+	return faultHandlers{
 		"kill":      func(r *http.Request, _ Fault) { e.Kill(r) },
 		"restore":   func(*http.Request, Fault) { e.Restore() },
 		"pause":     func(*http.Request, Fault) { e.pause() },
 		"continue":  func(*http.Request, Fault) { e.unpause() },
-		"cut-links": func(r *http.Request, _ Fault) { e.cutLinks(r) },
-		"slow":      func(_ *http.Request, f Fault) { e.slow.Store(uint64(f.Factor * usualSpeed)) },
-		"malformed": func(_ *http.Request, f Fault) { e.bad.Store(int64(f.Count)) },
-		"error":     func(_ *http.Request, f Fault) { e.errs.Store(int64(f.Count)) },
+		"cut-links": func(r *http.Request, _ Fault) { e.closeConnections(r) },
+		"slow":      func(_ *http.Request, f Fault) { e.durationPercent.Store(uint64(f.Factor * normalPercent)) },
+		"malformed": func(_ *http.Request, f Fault) { e.malformedEvents.Store(int64(f.Count)) },
+		"error":     func(_ *http.Request, f Fault) { e.errorEvents.Store(int64(f.Count)) },
 	}
 }
 
-// Kill ends all runs and links, as the death of the process would; r is the request that asks for it, if any.
+// Kill ends all runs and connections, as if the process had died. The connection of r, the request that injects the fault, stays open; r may be nil.
 func (e *Engine) Kill(r *http.Request) {
 	e.setDead(true)
 	e.runsMu.Lock()
@@ -109,40 +109,40 @@
 	if r == nil {
 		r = &http.Request{}
 	}
-	e.cutLinks(r)
+	e.closeConnections(r)
 	e.unpause()
 }
 
-// Restore brings a killed or slowed engine back, empty.
+// Restore ends a kill, slowdown or pause; the prefix cache is empty afterwards.
 func (e *Engine) Restore() {
 	e.cache.clear()
-	e.slow.Store(usualSpeed)
+	e.durationPercent.Store(normalPercent)
 	e.setDead(false)
 	e.unpause()
 }
 
-// Pause freezes the engine.
+// Pause makes the engine hang until Continue is called.
 func (e *Engine) Pause() { e.pause() }
 
 // Continue ends a pause.
 func (e *Engine) Continue() { e.unpause() }
 
-// CutLinks closes all connections; runs go on.
-func (e *Engine) CutLinks() { e.cutLinks(&http.Request{}) }
+// CloseConnections closes all connections; runs continue.
+func (e *Engine) CloseConnections() { e.closeConnections(&http.Request{}) }
 
-// Stats returns what the engine did so far.
+// Stats returns the engine's counters.
 func (e *Engine) Stats() EngineStats {
 	e.runsMu.Lock()
 	open := int64(len(e.runs))
 	e.runsMu.Unlock()
 	return EngineStats{
-		Runs: e.started.Load(), Prefill: e.prefill.Load(), Decode: e.decode.Load(), Cancels: e.cancels.Load(),
-		CacheHits: e.hits.Load(), Resumes: e.resumes.Load(), Open: open, Crashes: e.crashes.Load(),
+		Runs: e.started.Load(), PrefillTokens: e.prefill.Load(), DecodedTokens: e.decode.Load(), Cancels: e.cancels.Load(),
+		CacheHitTokens: e.cacheHits.Load(), Resumes: e.resumes.Load(), OpenRuns: open, Crashes: e.crashes.Load(),
 	}
 }
 
-// engineBody is what the engine reads of a request.
-type engineBody struct {
+// engineRequest holds the fields of a request body that the engine reads.
+type engineRequest struct {
 	Prompt    json.RawMessage   `json:"prompt"`
 	Messages  []openai.Message  `json:"messages"`
 	MaxTokens vaneyoke.Tokens   `json:"max_tokens"`
@@ -151,7 +151,7 @@
 }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
-	var body engineBody
+	var body engineRequest
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -161,7 +161,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if e.config.Ends != "" && body.holds(e.config.Ends) {
+	if e.config.CrashText != "" && body.contains(e.config.CrashText) {
 		e.crash(r)
 	}
 	run := newEngineRun(e, r.URL.Path == openai.PathChat, prefix, body.MaxTokens)
@@ -172,32 +172,32 @@
 	e.started.Add(1)
 	go func() {
 		run.generate(nextSalt())
-		time.AfterFunc(e.config.Orphan, func() { e.forget(id, run) })
+		time.AfterFunc(e.config.OrphanTimeout, func() { e.removeRun(id, run) })
 	}()
 	if body.Stream {
 		run.serve(w, r, 0)
 		return
 	}
-	run.serveWhole(w, r, len(body.Tools) > 0)
+	run.serveUnary(w, r, len(body.Tools) > 0)
 }
 
-// holds reports whether the prompt holds a text.
-func (b *engineBody) holds(text string) bool {
+// contains reports whether the prompt contains a text.
+func (b *engineRequest) contains(text string) bool {
 	return strings.Contains(ChatPrompt(b.Messages), text) || bytes.Contains(b.Prompt, []byte(text))
 }
 
-// crash ends the engine under a request, and has it come back after a while.
+// crash simulates a crash of the engine while it handles a request, and its restart after RestartTime.
 func (e *Engine) crash(r *http.Request) {
-	time.Sleep(e.config.Gap)
+	time.Sleep(e.config.TokenInterval)
 	e.crashes.Add(1)
-	e.refuse(e.config.Down)
+	e.refuseConnections(e.config.RestartTime)
 	e.Kill(r)
 	e.Restore()
 	panic(http.ErrAbortHandler)
 }
 
-// prefix returns the prompt's token ids; a prompt of ids is taken as it is.
-func (b *engineBody) prefix() ([]vaneyoke.TokenID, error) {
+// prefix returns the token ids of the prompt; a prompt that is a list of ids is used unchanged.
+func (b *engineRequest) prefix() ([]vaneyoke.TokenID, error) {
 	if len(b.Messages) > 0 {
 		return check.Tokenize(ChatPrompt(b.Messages)), nil
 	}
@@ -210,7 +210,7 @@
 	return check.Tokenize(text), err
 }
 
-// ChatPrompt returns the text that the stand-in's chat template makes of messages.
+// ChatPrompt renders messages with the stand-in's chat template.
 func ChatPrompt(messages []openai.Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -219,7 +219,7 @@
 	return b.String()
 }
 
-// detokenize returns the text of generated tokens, as a whole string.
+// detokenize returns the text of generated tokens.
 func (e *Engine) detokenize(w http.ResponseWriter, r *http.Request) {
 	var body engine.DetokenizeBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -233,13 +233,13 @@
 	writeJSON(w, http.StatusOK, engine.DetokenizeReply{Prompt: string(text)})
 }
 
-func (e *Engine) find(id string) *engineRun {
+func (e *Engine) findRun(id string) *engineRun {
 	e.runsMu.Lock()
 	defer e.runsMu.Unlock()
 	return e.runs[id]
 }
 
-func (e *Engine) forget(id string, run *engineRun) {
+func (e *Engine) removeRun(id string, run *engineRun) {
 	e.runsMu.Lock()
 	defer e.runsMu.Unlock()
 	if e.runs[id] == run {
@@ -248,20 +248,20 @@
 }
 
 func (e *Engine) cancelStream(w http.ResponseWriter, r *http.Request) {
-	if run := e.find(r.PathValue("id")); run != nil {
+	if run := e.findRun(r.PathValue("id")); run != nil {
 		run.cancel()
 		e.cancels.Add(1)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// pace returns d at the engine's present speed.
-func (e *Engine) pace(d time.Duration) time.Duration {
-	return d * time.Duration(e.slow.Load()) / usualSpeed
+// scaleDuration returns d at the engine's current speed.
+func (e *Engine) scaleDuration(d time.Duration) time.Duration {
+	return d * time.Duration(e.durationPercent.Load()) / normalPercent
 }
 
-// Spoil makes the next events malformed.
-func (e *Engine) Spoil(count int) { e.bad.Store(int64(count)) }
+// SendMalformedEvents makes the next count events malformed.
+func (e *Engine) SendMalformedEvents(count int) { e.malformedEvents.Store(int64(count)) }
 
-// FailEvents makes the engine send error events in place of the next tokens.
-func (e *Engine) FailEvents(count int) { e.errs.Store(int64(count)) }
+// SendErrorEvents replaces the next count events by error events.
+func (e *Engine) SendErrorEvents(count int) { e.errorEvents.Store(int64(count)) }
--- a/tools/standin/platform.go
+++ b/tools/standin/platform.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	pathVMs      = "/vms"
-	pathObjects  = "/objects/"
-	slowReply    = 100 * time.Millisecond // what a factor of 1 slows a reply by
-	targetHeader = "X-Amz-Target"
+	pathVMs        = "/vms"
+	pathObjects    = "/objects/"
+	replyDelayUnit = 100 * time.Millisecond // delay of each reply for a slow fault with factor 1
+	targetHeader   = "X-Amz-Target"
 )
 
-// Platform is a stand-in for the platform's service over a memory.Platform.
+// Platform is a stand-in for the platform's services. It serves the content of a memory.Platform over HTTP.
 type Platform struct {
 	server
 	Memory *memory.Platform
 
-	down      atomic.Bool
-	tableDown atomic.Bool
-	delay     atomic.Int64 // nanoseconds before each reply
-	loseReply atomic.Int64 // writes whose reply will be lost
-	reads     atomic.Int64
-	writes    atomic.Int64
+	down          atomic.Bool
+	tableDown     atomic.Bool
+	replyDelay    atomic.Int64 // nanoseconds before each reply
+	repliesToLose atomic.Int64 // number of writes whose reply will be lost
+	reads         atomic.Int64
+	writes        atomic.Int64
 
-	staleMu sync.Mutex
-	stale   []store.VM // the list while it lags
-	lagging bool
+	laggingMu  sync.Mutex
+	laggingVMs []store.VM // the list that is served while lagging
+	lagging    bool
 }
 
-// PlatformStats counts what the platform did.
+// PlatformStats holds a platform's counters.
 type PlatformStats struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
 }
 
-// NewPlatform starts a platform on address.
+// NewPlatform starts a platform that listens on address.
 func NewPlatform(address string) (*Platform, error) {
 	p := &Platform{Memory: memory.New()}
 	mux := http.NewServeMux()
@@ -57,17 +57,17 @@
 	mux.HandleFunc("PUT "+pathVMs, p.putVMs)
 	mux.HandleFunc("PUT "+pathObjects+"{bucket}/{name...}", p.putObject)
 	mux.HandleFunc("GET "+pathObjects+"{bucket}/{name...}", p.getObject)
-	guarded := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { p.outage(w, r, mux) })
-	err := p.start(address, guarded, p.faults().handler(func() any { return p.Stats() }))
+	withFaults := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { p.applyFaults(w, r, mux) })
+	err := p.start(address, withFaults, p.faults().handler(func() any { return p.Stats() }))
 	return p, err
 }
 
-func (p *Platform) faults() faultList {
-	return faultList{
+func (p *Platform) faults() faultHandlers {
+	return faultHandlers{
 		"down":       func(*http.Request, Fault) { p.SetDown(true) },
 		"up":         func(*http.Request, Fault) { p.SetDown(false); p.SetTableDown(false) },
 		"table-down": func(*http.Request, Fault) { p.SetTableDown(true) },
-		"slow":       func(_ *http.Request, f Fault) { p.delay.Store(int64(f.Factor * float64(slowReply))) },
+		"slow":       func(_ *http.Request, f Fault) { p.replyDelay.Store(int64(f.Factor * float64(replyDelayUnit))) },
 		"lose-reply": func(_ *http.Request, f Fault) { p.LoseReplies(max(f.Count, 1)) },
 		"pause":      func(*http.Request, Fault) { p.pause() },
 		"continue":   func(*http.Request, Fault) { p.unpause() },
@@ -76,21 +76,21 @@
 	}
 }
 
-// SetDown makes every request fail, or ends that.
+// SetDown makes all requests fail, or ends that fault.
 func (p *Platform) SetDown(down bool) { p.down.Store(down) }
 
-// SetTableDown makes every request to the table fail, or ends that; the list of VMs can still be read.
+// SetTableDown makes all requests to the table fail, or ends that fault. The list of VMs can still be read.
 func (p *Platform) SetTableDown(down bool) { p.tableDown.Store(down) }
 
-// LoseReplies makes the replies to the next writes get lost although the writes take effect.
-func (p *Platform) LoseReplies(count int) { p.loseReply.Store(int64(count)) }
+// LoseReplies closes the connection of the next count writes without a reply. The writes still take effect.
+func (p *Platform) LoseReplies(count int) { p.repliesToLose.Store(int64(count)) }
 
-// SetLag freezes the list of VMs as it is now, or ends that.
+// SetLag makes the list of VMs stale, by serving its current state from now on, or ends that fault.
 func (p *Platform) SetLag(lag bool) {
 	vms, _ := p.Memory.List(context.Background())
-	p.staleMu.Lock()
-	defer p.staleMu.Unlock()
-	p.lagging, p.stale = lag, vms
+	p.laggingMu.Lock()
+	defer p.laggingMu.Unlock()
+	p.lagging, p.laggingVMs = lag, vms
 }
 
 // Restore ends all faults.
@@ -98,25 +98,25 @@
 	p.SetDown(false)
 	p.SetTableDown(false)
 	p.SetLag(false)
-	p.delay.Store(0)
-	p.loseReply.Store(0)
+	p.replyDelay.Store(0)
+	p.repliesToLose.Store(0)
 	p.unpause()
 }
 
-// Stats returns what the platform did so far.
+// Stats returns the platform's counters.
 func (p *Platform) Stats() PlatformStats {
 	return PlatformStats{Reads: p.reads.Load(), Writes: p.writes.Load()}
 }
 
-// VMsURL returns the address of the list of VMs.
+// VMsURL returns the URL of the list of VMs.
 func (p *Platform) VMsURL() string { return p.URL() + pathVMs }
 
-// ObjectURL returns the address of the object store.
+// ObjectURL returns the URL of the object store.
 func (p *Platform) ObjectURL() string { return p.URL() + strings.TrimSuffix(pathObjects, "/") }
 
-// outage carries out the faults that concern every request.
-func (p *Platform) outage(w http.ResponseWriter, r *http.Request, next http.Handler) {
-	if d := time.Duration(p.delay.Load()); d > 0 {
+// applyFaults applies the faults that affect all requests.
+func (p *Platform) applyFaults(w http.ResponseWriter, r *http.Request, next http.Handler) {
+	if d := time.Duration(p.replyDelay.Load()); d > 0 {
 		select {
 		case <-time.After(d):
 		case <-r.Context().Done():
@@ -130,15 +130,15 @@
 	next.ServeHTTP(w, r)
 }
 
-// dropReply reports whether the reply to a write that took effect gets lost.
-func (p *Platform) dropReply() bool {
-	return p.loseReply.Load() > 0 && p.loseReply.Add(-1) >= 0
+// shouldLoseReply reports whether to lose the reply to a write that took effect.
+func (p *Platform) shouldLoseReply() bool {
+	return p.repliesToLose.Load() > 0 && p.repliesToLose.Add(-1) >= 0
 }
 
 func (p *Platform) vms(w http.ResponseWriter, r *http.Request) {
-	p.staleMu.Lock()
-	vms, lagging := p.stale, p.lagging
-	p.staleMu.Unlock()
+	p.laggingMu.Lock()
+	vms, lagging := p.laggingVMs, p.lagging
+	p.laggingMu.Unlock()
 	if !lagging {
 		vms, _ = p.Memory.List(r.Context())
 	}
@@ -152,7 +152,7 @@
 	http.ServeContent(w, r, "vms.json", time.Time{}, bytes.NewReader(raw))
 }
 
-// putVMs sets the list of VMs.
+// putVMs replaces the list of VMs.
 func (p *Platform) putVMs(w http.ResponseWriter, r *http.Request) {
 	var vms []store.VM
 	if err := json.NewDecoder(r.Body).Decode(&vms); err != nil {
@@ -184,14 +184,14 @@
 	_, _ = w.Write(data)
 }
 
-// Holds reports whether a row exists and its value contains a text.
-func (p *Platform) Holds(partition, id, text string) bool {
+// RowContains reports whether a row exists and its value contains a text.
+func (p *Platform) RowContains(partition, id, text string) bool {
 	row, err := p.Memory.Get(context.Background(), store.Key{Partition: partition, ID: id})
 	return err == nil && bytes.Contains(row.Value, []byte(text))
 }
 
-// Rows returns the ids of a partition's rows.
-func (p *Platform) Rows(partition string) []string {
+// RowIDs returns the ids of the rows of a partition.
+func (p *Platform) RowIDs(partition string) []string {
 	rows, _ := store.ScanAll(context.Background(), p.Memory, partition)
 	var ids []string
 	for _, row := range rows {
--- a/tools/standin/run.go
+++ b/tools/standin/run.go
@@ -13,10 +13,10 @@
 	"github.com/vaneyoke/vaneyoke/wire/engine"
 )
 
-// defaultTokens ends an answer for which nobody set a limit.
+// defaultTokens is the maximum length of an answer if the request sets none.
 const defaultTokens = 256
 
-// engineRun is one run of a stand-in engine; it goes on without a reader for a while, so that its stream can be resumed.
+// engineRun is one run of a stand-in engine. It continues without a reader for EngineConfig.OrphanTimeout, so that its stream can be resumed.
 type engineRun struct {
 	engine *Engine
 	chat   bool
@@ -25,12 +25,12 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	tokens  []vaneyoke.TokenID
-	reason  vaneyoke.FinishReason
-	readers int
-	left    time.Time // when the last reader left
+	mu             sync.Mutex
+	changed        *sync.Cond
+	tokens         []vaneyoke.TokenID
+	reason         vaneyoke.FinishReason
+	readers        int
+	lastReaderLeft time.Time // when the last reader disconnected
 }
 
 func newEngineRun(e *Engine, chat bool, prompt []vaneyoke.TokenID, limit vaneyoke.Tokens) *engineRun {
@@ -38,7 +38,7 @@
 		limit = defaultTokens
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &engineRun{engine: e, chat: chat, prompt: prompt, limit: limit, ctx: ctx, cancel: cancel, left: time.Now()}
+	r := &engineRun{engine: e, chat: chat, prompt: prompt, limit: limit, ctx: ctx, cancel: cancel, lastReaderLeft: time.Now()}
 	r.changed = sync.NewCond(&r.mu)
 	context.AfterFunc(ctx, r.wake)
 	return r
@@ -50,7 +50,7 @@
 	r.changed.Broadcast()
 }
 
-// generate waits for a slot, reads the prompt and gives token after token.
+// generate waits for a slot, processes the prompt and generates the tokens.
 func (r *engineRun) generate(salt check.Salt) {
 	select {
 	case r.engine.slots <- struct{}{}:
@@ -59,45 +59,45 @@
 	}
 	defer func() { <-r.engine.slots }()
 	hits := r.engine.cache.add(r.prompt)
-	cold := len(r.prompt) - hits
-	r.engine.hits.Add(int64(hits))
-	r.engine.prefill.Add(int64(cold))
-	ticker := time.NewTimer(r.engine.pace(time.Duration(cold) * r.engine.config.Prefill))
-	defer ticker.Stop()
-	length, held, natural := check.Length(r.prompt)
-	chain, last := check.ChainOf(r.prompt), r.prompt[len(r.prompt)-1]
-	if natural && held > 0 && held >= length && !check.Opens(last) {
-		r.end(vaneyoke.FinishStop) // the prefix is the whole answer already
+	uncached := len(r.prompt) - hits
+	r.engine.cacheHits.Add(int64(hits))
+	r.engine.prefill.Add(int64(uncached))
+	timer := time.NewTimer(r.engine.scaleDuration(time.Duration(uncached) * r.engine.config.PrefillPerToken))
+	defer timer.Stop()
+	length, generated, hasLength := check.AnswerLength(r.prompt)
+	prefix, last := check.HashPrefix(r.prompt), r.prompt[len(r.prompt)-1]
+	if hasLength && generated > 0 && generated >= length && !check.EndsMidCharacter(last) {
+		r.endWithoutToken(vaneyoke.FinishStop) // the prefix already contains the complete answer
 		return
 	}
-	for n := vaneyoke.Tokens(1); r.step(ticker); n++ {
-		last = check.Next(chain, last, salt)
-		chain = chain.Append(last)
+	for n := vaneyoke.Tokens(1); r.awaitNextToken(timer); n++ {
+		last = check.NextToken(prefix, last, salt)
+		prefix = prefix.Append(last)
 		r.engine.decode.Add(1)
 		var reason vaneyoke.FinishReason
 		switch {
-		case natural && held+n >= length && !check.Opens(last):
+		case hasLength && generated+n >= length && !check.EndsMidCharacter(last):
 			reason = vaneyoke.FinishStop
 		case n >= r.limit:
 			reason = vaneyoke.FinishLength
 		}
-		r.add(last, reason)
+		r.appendToken(last, reason)
 		if reason != "" {
 			return
 		}
-		ticker.Reset(r.engine.pace(r.engine.config.Gap))
+		timer.Reset(r.engine.scaleDuration(r.engine.config.TokenInterval))
 	}
 }
 
-// step waits for the time of the next token; it reports false where the run was cancelled.
-func (r *engineRun) step(ticker *time.Timer) bool {
+// awaitNextToken waits until the next token is due; it reports false if the run was cancelled or had no reader for too long.
+func (r *engineRun) awaitNextToken(timer *time.Timer) bool {
 	select {
-	case <-ticker.C:
+	case <-timer.C:
 	case <-r.ctx.Done():
 		return false
 	}
 	select {
-	case <-r.engine.gate():
+	case <-r.engine.notPaused():
 	case <-r.ctx.Done():
 		return false
 	}
@@ -107,10 +107,10 @@
 func (r *engineRun) orphaned() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readers == 0 && time.Since(r.left) > r.engine.config.Orphan
+	return r.readers == 0 && time.Since(r.lastReaderLeft) > r.engine.config.OrphanTimeout
 }
 
-func (r *engineRun) add(id vaneyoke.TokenID, reason vaneyoke.FinishReason) {
+func (r *engineRun) appendToken(id vaneyoke.TokenID, reason vaneyoke.FinishReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tokens = append(r.tokens, id)
@@ -118,16 +118,16 @@
 	r.changed.Broadcast()
 }
 
-// end finishes the run without a further token.
-func (r *engineRun) end(reason vaneyoke.FinishReason) {
+// endWithoutToken finishes the run without a further token.
+func (r *engineRun) endWithoutToken(reason vaneyoke.FinishReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reason = reason
 	r.changed.Broadcast()
 }
 
-// attach counts a reader until the returned function is called.
-func (r *engineRun) attach() func() {
+// addReader registers a reader until the returned function is called.
+func (r *engineRun) addReader() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers++
@@ -135,15 +135,15 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.readers--
-		r.left = time.Now()
+		r.lastReaderLeft = time.Now()
 	}
 }
 
-// wait returns the tokens from index on and the finish reason, once there is any.
+// wait waits for at least one event's tokens or the finish reason, and returns the tokens from the given index on. It reports false if the reader disconnected or the run was cancelled.
 func (r *engineRun) wait(ctx context.Context, from int) ([]vaneyoke.TokenID, vaneyoke.FinishReason, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.tokens) < from+max(r.engine.config.Chunk, 1) && r.reason == "" {
+	for len(r.tokens) < from+max(r.engine.config.ChunkTokens, 1) && r.reason == "" {
 		if ctx.Err() != nil || r.ctx.Err() != nil {
 			return nil, "", false
 		}
@@ -153,7 +153,7 @@
 }
 
 func (e *Engine) resumeStream(w http.ResponseWriter, r *http.Request) {
-	run := e.find(r.PathValue("id"))
+	run := e.findRun(r.PathValue("id"))
 	from, err := strconv.Atoi(r.Header.Get(engine.HeaderLastEventID))
 	if run == nil || err != nil {
 		http.Error(w, "no such stream", http.StatusNotFound)
@@ -163,9 +163,9 @@
 	run.serve(w, r, from)
 }
 
-// serve writes the run's events from index on.
+// serve writes the run's events, starting with the token at index from.
 func (r *engineRun) serve(w http.ResponseWriter, req *http.Request, from int) {
-	defer r.attach()()
+	defer r.addReader()()
 	defer context.AfterFunc(req.Context(), r.wake)()
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
@@ -173,7 +173,7 @@
 	var event []byte
 	first := from == 0
 	if from > 0 {
-		text = r.held(from)
+		text = r.withheldText(from)
 	}
 	for {
 		tokens, reason, ok := r.wait(req.Context(), from)
@@ -181,26 +181,26 @@
 			panic(http.ErrAbortHandler)
 		}
 		if len(tokens) == 0 {
-			_, _ = w.Write(r.finish(event[:0], reason))
+			_, _ = w.Write(r.appendFinish(event[:0], reason))
 		}
 		for len(tokens) > 0 {
-			chunk := tokens[:min(max(r.engine.config.Chunk, 1), len(tokens))]
+			chunk := tokens[:min(max(r.engine.config.ChunkTokens, 1), len(tokens))]
 			tokens = tokens[len(chunk):]
 			from += len(chunk)
-			shown := 0
+			complete := 0
 			for _, id := range chunk {
 				text = check.AppendText(text, id)
-				if !check.Opens(id) {
-					shown = len(text)
+				if !check.EndsMidCharacter(id) {
+					complete = len(text)
 				}
 			}
-			event = r.event(event[:0], from, chunk, text[:shown], first)
+			event = r.appendEvent(event[:0], from, chunk, text[:complete], first)
 			first = false
-			text = append(text[:0], text[shown:]...)
+			text = append(text[:0], text[complete:]...)
 			if reason != "" && len(tokens) == 0 {
-				event = r.finish(event, reason)
+				event = r.appendFinish(event, reason)
 			}
-			event = r.engine.spoil(event)
+			event = r.engine.injectEventFaults(event)
 			if _, err := w.Write(event); err != nil {
 				return
 			}
@@ -211,18 +211,18 @@
 	}
 }
 
-// held returns the text that the event before index had to hold back.
-func (r *engineRun) held(from int) []byte {
+// withheldText returns the start of a character that was not sent with the event before index from because it was incomplete.
+func (r *engineRun) withheldText(from int) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if from > len(r.tokens) || !check.Opens(r.tokens[from-1]) {
+	if from > len(r.tokens) || !check.EndsMidCharacter(r.tokens[from-1]) {
 		return nil
 	}
 	return check.AppendText(nil, r.tokens[from-1])
 }
 
-// event appends the server-sent event of a chunk of tokens.
-func (r *engineRun) event(buf []byte, end int, ids []vaneyoke.TokenID, text []byte, first bool) []byte {
+// appendEvent appends the server-sent event for a chunk of tokens.
+func (r *engineRun) appendEvent(buf []byte, end int, ids []vaneyoke.TokenID, text []byte, first bool) []byte {
 	buf = append(buf, "id: "...)
 	buf = strconv.AppendInt(buf, int64(end), 10)
 	buf = append(buf, "\ndata: {\"id\":\"run\",\"choices\":[{\"index\":0,"...)
@@ -249,26 +249,26 @@
 	return append(buf, "\",\"finish_reason\":null}]}\n\n"...)
 }
 
-func (r *engineRun) finish(buf []byte, reason vaneyoke.FinishReason) []byte {
+func (r *engineRun) appendFinish(buf []byte, reason vaneyoke.FinishReason) []byte {
 	buf = append(buf, "data: {\"id\":\"run\",\"choices\":[{\"index\":0,\"token_ids\":[],\"text\":\"\",\"finish_reason\":\""...)
 	buf = append(buf, reason...)
 	return append(buf, "\"}]}\n\ndata: [DONE]\n\n"...)
 }
 
-// spoil carries out the faults that change events.
-func (e *Engine) spoil(event []byte) []byte {
-	if e.bad.Load() > 0 && e.bad.Add(-1) >= 0 {
+// injectEventFaults applies the faults that change events.
+func (e *Engine) injectEventFaults(event []byte) []byte {
+	if e.malformedEvents.Load() > 0 && e.malformedEvents.Add(-1) >= 0 {
 		return append(event[:len(event)/2], "\n\n"...)
 	}
-	if e.errs.Load() > 0 && e.errs.Add(-1) >= 0 {
+	if e.errorEvents.Load() > 0 && e.errorEvents.Add(-1) >= 0 {
 		return append(event[:0], "data: {\"error\":{\"message\":\"out of memory\"}}\n\n"...)
 	}
 	return event
 }
 
-// serveWhole answers in one body; a chat with tools is answered by a call of the tool "lookup".
-func (r *engineRun) serveWhole(w http.ResponseWriter, req *http.Request, tools bool) {
-	defer r.attach()()
+// serveUnary sends the answer in one body. A chat request with tools gets a call of the tool "lookup".
+func (r *engineRun) serveUnary(w http.ResponseWriter, req *http.Request, tools bool) {
+	defer r.addReader()()
 	defer context.AfterFunc(req.Context(), r.wake)()
 	var text []byte
 	from := 0
@@ -282,7 +282,7 @@
 		}
 		from += len(tokens)
 		if reason != "" {
-			writeJSON(w, http.StatusOK, r.wholeAnswer(string(text), reason, from, tools))
+			writeJSON(w, http.StatusOK, r.unaryResponse(string(text), reason, from, tools))
 			return
 		}
 	}
--- a/tools/standin/server.go
+++ b/tools/standin/server.go
@@ -17,18 +17,18 @@
 	headerTimeout = 10 * time.Second
 )
 
-// server is the HTTP side that all stand-ins share: it can be killed, paused and cut off.
+// server is the HTTP server of every stand-in. It can be killed and paused, and its connections can be closed.
 type server struct {
 	http     *http.Server
 	listener net.Listener
 
-	mu     sync.Mutex
-	conns  map[net.Conn]http.ConnState
-	dead   bool
-	resume chan struct{} // closed when the stand-in is not paused
+	mu       sync.Mutex
+	conns    map[net.Conn]http.ConnState
+	dead     bool
+	unpaused chan struct{} // closed while the stand-in is not paused
 }
 
-// start serves handler on address; faults go to a handler of their own, which also answers while the stand-in is dead.
+// start serves handler on address. The control paths have a separate handler, which also answers while the stand-in is dead or paused.
 func (s *server) start(address string, handler, faults http.Handler) error {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -36,26 +36,26 @@
 	}
 	s.listener = listener
 	s.conns = map[net.Conn]http.ConnState{}
-	s.resume = make(chan struct{})
-	close(s.resume)
+	s.unpaused = make(chan struct{})
+	close(s.unpaused)
 	mux := http.NewServeMux()
 	mux.Handle(pathFault, faults)
 	mux.Handle(pathStats, faults)
-	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { s.guard(w, r, handler) })
+	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { s.serveUnlessDead(w, r, handler) })
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ConnState: s.track}
 	go func() { _ = s.http.Serve(listener) }()
 	return nil
 }
 
-// URL returns the stand-in's address.
+// URL returns the stand-in's base URL.
 func (s *server) URL() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return "http://" + s.listener.Addr().String()
 }
 
-// refuse has the stand-in take no connections for a while, as where its process has ended and is started again.
-func (s *server) refuse(d time.Duration) {
+// refuseConnections closes the listener for the given time, as while a process restarts.
+func (s *server) refuseConnections(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	address := s.listener.Addr().String()
@@ -65,19 +65,19 @@
 		defer s.mu.Unlock()
 		listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 		if err != nil {
-			return // the address is taken, so that the stand-in stays away
+			return // another process has taken the address; the stand-in stays unreachable
 		}
 		s.listener = listener
 		go func() { _ = s.http.Serve(listener) }()
 	})
 }
 
-// Close ends the stand-in; its address refuses connections from then on, also where serving has not begun yet.
+// Close stops the stand-in. Its address refuses connections afterwards, even if Serve was not running yet.
 func (s *server) Close() error {
 	err := s.http.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.listener.Close() // where Serve has not taken it over yet
+	_ = s.listener.Close() // http.Server.Close misses the listener if Serve has not registered it yet
 	return err
 }
 
@@ -91,18 +91,18 @@
 	s.conns[conn] = state
 }
 
-// guard drops the connection of a request to a dead stand-in, and holds one to a paused stand-in.
-func (s *server) guard(w http.ResponseWriter, r *http.Request, handler http.Handler) {
+// serveUnlessDead aborts the connection of a request to a dead stand-in, and delays a request to a paused one.
+func (s *server) serveUnlessDead(w http.ResponseWriter, r *http.Request, handler http.Handler) {
 	if !s.alive(r) {
 		panic(http.ErrAbortHandler)
 	}
 	handler.ServeHTTP(w, r)
 }
 
-// alive waits while the stand-in is paused, and reports whether it is not dead.
+// alive waits while the stand-in is paused, and then reports whether it is alive. It reports false if the request is cancelled first.
 func (s *server) alive(r *http.Request) bool {
 	select {
-	case <-s.gate():
+	case <-s.notPaused():
 	case <-r.Context().Done():
 		return false
 	}
@@ -111,19 +111,19 @@
 	return !s.dead
 }
 
-// gate returns a channel that is closed once the stand-in is not paused.
-func (s *server) gate() <-chan struct{} {
+// notPaused returns a channel that is closed once the stand-in is not paused.
+func (s *server) notPaused() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.resume
+	return s.unpaused
 }
 
 func (s *server) pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.resume:
-		s.resume = make(chan struct{})
+	case <-s.unpaused:
+		s.unpaused = make(chan struct{})
 	default:
 	}
 }
@@ -132,9 +132,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.resume:
+	case <-s.unpaused:
 	default:
-		close(s.resume)
+		close(s.unpaused)
 	}
 }
 
@@ -144,8 +144,8 @@
 	s.dead = dead
 }
 
-// cutLinks closes every connection but that of the given request.
-func (s *server) cutLinks(r *http.Request) {
+// closeConnections closes every connection except that of the given request.
+func (s *server) closeConnections(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
@@ -155,41 +155,41 @@
 	}
 }
 
-// Fault is an order to a stand-in to misbehave.
+// Fault is a request to inject a fault into a stand-in.
 type Fault struct {
 	Fault  string  `json:"fault"`
-	Factor float64 `json:"factor,omitempty"` // of slow: times the usual time
-	Count  int     `json:"count,omitempty"`  // of lose-reply, malformed and error: how many
+	Factor float64 `json:"factor,omitempty"` // for slow: multiple of the normal duration
+	Count  int     `json:"count,omitempty"`  // for lose-reply, malformed and error: number of replies or events
 }
 
-// faultList maps a stand-in's faults to what carries them out.
-type faultList map[string]func(r *http.Request, f Fault)
+// faultHandlers maps the names of a stand-in's faults to the functions that inject them.
+type faultHandlers map[string]func(r *http.Request, f Fault)
 
-// handler answers the control paths.
-func (l faultList) handler(stats func() any) http.Handler {
+// handler serves the control paths: the faults and the counters.
+func (l faultHandlers) handler(stats func() any) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathFault, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, l.names()) })
 	mux.HandleFunc("GET "+pathStats, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, stats()) })
-	mux.HandleFunc("POST "+pathFault, l.order)
+	mux.HandleFunc("POST "+pathFault, l.inject)
 	return mux
 }
 
-func (l faultList) order(w http.ResponseWriter, r *http.Request) {
+func (l faultHandlers) inject(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		writeJSON(w, http.StatusBadRequest, faultReply{Error: err.Error()})
 		return
 	}
-	act, ok := l[f.Fault]
+	apply, ok := l[f.Fault]
 	if !ok {
 		writeJSON(w, http.StatusUnprocessableEntity, faultReply{Error: "unknown fault " + f.Fault, Faults: l.names()})
 		return
 	}
-	act(r, f)
+	apply(r, f)
 	writeJSON(w, http.StatusOK, faultReply{Done: f.Fault})
 }
 
-// faultReply answers an order.
+// faultReply is the answer to a request to inject a fault.
 type faultReply struct {
 	Done   string   `json:"done,omitempty"`
 	Error  string   `json:"error,omitempty"`
@@ -202,4 +202,4 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func (l faultList) names() []string { return slices.Sorted(maps.Keys(l)) }
+func (l faultHandlers) names() []string { return slices.Sorted(maps.Keys(l)) }
--- a/tools/standin/server_test.go
+++ b/tools/standin/server_test.go
@@ -10,7 +10,7 @@
 	"github.com/vaneyoke/vaneyoke/tools/standin"
 )
 
-// TestClosedStandinRefusesConnections closes stand-ins right after their start, before they may have begun to serve.
+// TestClosedStandinRefusesConnections guards against a listener that stays open when Close is called before Serve has registered it.
 func TestClosedStandinRefusesConnections(t *testing.T) {
 	for range 200 {
 		p, err := standin.NewPlatform("127.0.0.1:0")
--- a/tools/standin/service.go
+++ b/tools/standin/service.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Service is a stand-in plain service that counts how often each order was carried out.
+// Service is a stand-in plain service that counts how often each order was executed.
 type Service struct {
 	server
-	delay atomic.Int64 // nanoseconds before a call is answered
+	answerDelay atomic.Int64 // nanoseconds before a call is answered
 
 	mu     sync.Mutex
 	orders map[string]int
@@ -26,32 +26,32 @@
 // ServiceAnswer is the answer to a call.
 type ServiceAnswer struct {
 	Order string `json:"order"`
-	Runs  int    `json:"runs"` // how often the order was carried out so far
+	Runs  int    `json:"runs"` // how often the order was executed so far
 }
 
-// NewService starts a service on address.
+// NewService starts a service that listens on address.
 func NewService(address string) (*Service, error) {
 	s := &Service{orders: map[string]int{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /{call}", s.call)
-	faults := faultList{
-		"kill":      func(r *http.Request, _ Fault) { s.setDead(true); s.cutLinks(r) },
-		"restore":   func(*http.Request, Fault) { s.setDead(false); s.delay.Store(0) },
+	faults := faultHandlers{
+		"kill":      func(r *http.Request, _ Fault) { s.setDead(true); s.closeConnections(r) },
+		"restore":   func(*http.Request, Fault) { s.setDead(false); s.answerDelay.Store(0) },
 		"pause":     func(*http.Request, Fault) { s.pause() },
 		"continue":  func(*http.Request, Fault) { s.unpause() },
-		"cut-links": func(r *http.Request, _ Fault) { s.cutLinks(r) },
+		"cut-links": func(r *http.Request, _ Fault) { s.closeConnections(r) },
 		"slow":      func(_ *http.Request, f Fault) { s.SetDelay(time.Duration(f.Factor * float64(time.Millisecond))) },
 	}
 	return s, s.start(address, mux, faults.handler(func() any { return s.Orders() }))
 }
 
-// SetDelay sets the time between carrying out a call and answering it.
-func (s *Service) SetDelay(d time.Duration) { s.delay.Store(int64(d)) }
+// SetDelay sets the time between the execution of a call and its answer.
+func (s *Service) SetDelay(d time.Duration) { s.answerDelay.Store(int64(d)) }
 
-// CutLinks closes all connections.
-func (s *Service) CutLinks() { s.cutLinks(&http.Request{}) }
+// CloseConnections closes all connections.
+func (s *Service) CloseConnections() { s.closeConnections(&http.Request{}) }
 
-// Orders returns how often each order was carried out.
+// Orders returns how often each order was executed.
 func (s *Service) Orders() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,7 @@
 	answer := ServiceAnswer{Order: call.Order, Runs: s.orders[call.Order]}
 	s.mu.Unlock()
 	select {
-	case <-time.After(time.Duration(s.delay.Load())):
+	case <-time.After(time.Duration(s.answerDelay.Load())):
 		writeJSON(w, http.StatusOK, answer)
 	case <-r.Context().Done():
 	}
--- a/tools/standin/table.go
+++ b/tools/standin/table.go
@@ -13,7 +13,7 @@
 
 const mediaTable = "application/x-amz-json-1.0"
 
-// attribute is a value in the form of the table's protocol.
+// attribute is an attribute value in the table's wire format.
 type attribute struct {
 	S string `json:"S,omitempty"`
 	N string `json:"N,omitempty"`
@@ -22,7 +22,7 @@
 
 type attributes map[string]attribute
 
-// tableRequest holds the members of the operations that the adapter sends.
+// tableRequest holds the fields of all operations that the store adapter sends.
 type tableRequest struct {
 	Key                       attributes       `json:"Key"`
 	ExclusiveStartKey         attributes       `json:"ExclusiveStartKey"`
@@ -32,7 +32,7 @@
 	TransactItems             []transactMember `json:"TransactItems"`
 }
 
-// transactMember is one write; exactly one of its members is set.
+// transactMember is one write of a transaction; exactly one of its fields is set.
 type transactMember struct {
 	Put            *tableWrite `json:"Put"`
 	Delete         *tableWrite `json:"Delete"`
@@ -60,7 +60,7 @@
 
 type tableReasons struct{ Code string }
 
-// table answers one operation of the table's protocol.
+// table handles one operation of the table's protocol.
 func (p *Platform) table(w http.ResponseWriter, r *http.Request) {
 	var req tableRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -117,7 +117,7 @@
 	}
 	p.writes.Add(int64(len(tx.Writes)))
 	err := p.Memory.Commit(r.Context(), tx)
-	if p.dropReply() {
+	if p.shouldLoseReply() {
 		panic(http.ErrAbortHandler)
 	}
 	if vaneyoke.CodeOf(err) == vaneyoke.CodeStoreRace {
--- a/tools/standin/unary.go
+++ b/tools/standin/unary.go
@@ -5,22 +5,22 @@
 	"github.com/vaneyoke/vaneyoke/decide/openai"
 )
 
-// wholeAnswer is an answer in one body.
-type wholeAnswer struct {
+// unaryResponse is a non-streaming answer.
+type unaryResponse struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
-	Choices []wholeChoice `json:"choices"`
+	Choices []unaryChoice `json:"choices"`
 	Usage   openai.Usage  `json:"usage"`
 }
 
-type wholeChoice struct {
+type unaryChoice struct {
 	Index        int                   `json:"index"`
 	Text         string                `json:"text,omitempty"`
-	Message      *wholeMessage         `json:"message,omitempty"`
+	Message      *unaryMessage         `json:"message,omitempty"`
 	FinishReason vaneyoke.FinishReason `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type unaryMessage struct {
 	Role      string     `json:"role"`
 	Content   *string    `json:"content"`
 	ToolCalls []toolCall `json:"tool_calls,omitempty"`
@@ -37,21 +37,21 @@
 	Arguments string `json:"arguments"`
 }
 
-func (r *engineRun) wholeAnswer(text string, reason vaneyoke.FinishReason, tokens int, tools bool) wholeAnswer {
+func (r *engineRun) unaryResponse(text string, reason vaneyoke.FinishReason, tokens int, tools bool) unaryResponse {
 	prompt, completion := vaneyoke.Tokens(len(r.prompt)), vaneyoke.Tokens(tokens)
-	choice := wholeChoice{FinishReason: reason, Text: text}
-	answer := wholeAnswer{ID: "run", Object: "text_completion"}
-	answer.Usage = openai.Usage{PromptTokens: prompt, CompletionTokens: completion, TotalTokens: prompt + completion}
+	choice := unaryChoice{FinishReason: reason, Text: text}
+	response := unaryResponse{ID: "run", Object: "text_completion"}
+	response.Usage = openai.Usage{PromptTokens: prompt, CompletionTokens: completion, TotalTokens: prompt + completion}
 	if r.chat {
-		answer.Object = "chat.completion"
+		response.Object = "chat.completion"
 		choice.Text = ""
-		choice.Message = &wholeMessage{Role: "assistant", Content: &text}
+		choice.Message = &unaryMessage{Role: "assistant", Content: &text}
 	}
 	if r.chat && tools {
 		call := toolCall{ID: "call_1", Type: "function", Function: toolFunction{Name: "lookup", Arguments: `{}`}}
-		choice.Message = &wholeMessage{Role: "assistant", ToolCalls: []toolCall{call}}
+		choice.Message = &unaryMessage{Role: "assistant", ToolCalls: []toolCall{call}}
 		choice.FinishReason = "tool_calls"
 	}
-	answer.Choices = []wholeChoice{choice}
-	return answer
+	response.Choices = []unaryChoice{choice}
+	return response
 }
