--- a/process/node/crash_guard.go
+++ b/process/node/crash_guard.go
@@ -10,28 +10,28 @@
 	"github.com/vaneyoke/vaneyoke/shell/quarantines"
 )
 
-// crashGuard tells a relay which requests end the upstreams that run them.
+// crashGuard connects a relay to the quarantine of requests that crash the upstreams that run them.
 type crashGuard struct{ crashes *quarantines.Node }
 
-// RecordCrash notes that an upstream ended as it began to run a request.
+// RecordCrash records that an upstream crashed when it started to run a request.
 func (g crashGuard) RecordCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.RecordCrash(content, upstream, sentAt)
 }
 
-// RecordLossWithoutCrash notes that an upstream goes on which has lost a request as it began to run it.
+// RecordLossWithoutCrash records that an upstream lost a request when it started to run it, but did not crash.
 func (g crashGuard) RecordLossWithoutCrash(content vaneyoke.ContentID, upstream vaneyoke.Upstream, sentAt time.Time) {
 	g.crashes.RecordLossWithoutCrash(content, upstream, sentAt)
 }
 
-// RecordCompletion notes that an upstream has answered a request in whole.
+// RecordCompletion records that an upstream completed a request.
 func (g crashGuard) RecordCompletion(content vaneyoke.ContentID) { g.crashes.RecordCompletion(content) }
 
-// Blocked reports whether what a request asks is sent to no upstream.
+// Blocked reports whether requests with this content are blocked, and for how long.
 func (g crashGuard) Blocked(content vaneyoke.ContentID) (time.Duration, bool) {
 	return g.crashes.Blocked(content)
 }
 
-// callerPlacer is the balancer of a node of the caller API, which counts crashes for itself.
+// callerPlacer is the balancer of a node with the caller API, which counts crashes on its own, without other nodes.
 type callerPlacer struct {
 	*balancer.Balancer
 	crashGuard
--- a/tools/fleet/stop_test.go
+++ b/tools/fleet/stop_test.go
@@ -38,7 +38,7 @@
 func withShortGrace(c *fleet.Config) {
 	c.AdjustSettings = func(s *settings.Settings) {
 		withoutTimeouts(s)
-		s.Node.Grace, s.Limits.CallSilence, s.Limits.WholeLimit, s.Limits.MaxWait = time.Second, time.Hour, time.Hour, time.Hour
+		s.Node.Grace, s.Limits.CallSilence, s.Limits.UnaryTimeout, s.Limits.MaxWait = time.Second, time.Hour, time.Hour, time.Hour
 	}
 }
 
--- a/tools/fleet/upstream_leaving_test.go
+++ b/tools/fleet/upstream_leaving_test.go
@@ -96,7 +96,7 @@
 func waitEngine0Excluded(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	for _, n := range f.Nodes {
-		for n.TakesWork(vaneyoke.UpstreamID("engine-0")) {
+		for n.AcceptsWork(vaneyoke.UpstreamID("engine-0")) {
 			must.NoError(t, t.Context().Err())
 			time.Sleep(time.Millisecond)
 		}
