--- a/tools/load/config.go
+++ b/tools/load/config.go
@@ -103,12 +103,12 @@
 	}
 	at, err := time.ParseDuration(strings.TrimSpace(parts[0]))
 	if err != nil {
-		return Fault{}, vaneyoke.Err(vaneyoke.CodeUsage, "fault %q: %s is not a duration", text, parts[0])
+		return Fault{}, vaneyoke.Err(vaneyoke.CodeUsage, "fault %q: %s is no duration", text, parts[0])
 	}
 	fault := Fault{At: at, Target: strings.TrimSpace(parts[1]), Fault: strings.TrimSpace(parts[2])}
 	if len(parts) == 4 {
 		if fault.Factor, err = strconv.ParseFloat(strings.TrimSpace(parts[3]), 64); err != nil {
-			return Fault{}, vaneyoke.Err(vaneyoke.CodeUsage, "fault %q: %s is not a number", text, parts[3])
+			return Fault{}, vaneyoke.Err(vaneyoke.CodeUsage, "fault %q: %s is no number", text, parts[3])
 		}
 	}
 	return fault, nil
--- a/tools/load/embedded.go
+++ b/tools/load/embedded.go
@@ -51,7 +51,7 @@
 	case kind == "node" && i < len(e.fleet.Nodes):
 		return e.injectNodeFault(ctx, i, f)
 	}
-	return fmt.Errorf("unknown fault target %s", f.Target)
+	return fmt.Errorf("no target %s", f.Target)
 }
 
 func (e *Embedded) injectNodeFault(ctx context.Context, i int, f Fault) error {
@@ -72,7 +72,7 @@
 		e.nodes = nodes
 		return nil
 	}
-	return vaneyoke.Err(vaneyoke.CodeUsage, "a node supports the faults kill, stop and restart, not %s", f.Fault)
+	return vaneyoke.Err(vaneyoke.CodeUsage, "a node knows kill, stop and restart, not %s", f.Fault)
 }
 
 // DecodedTokens returns how many tokens the engines have generated.
--- a/tools/load/remote.go
+++ b/tools/load/remote.go
@@ -22,7 +22,7 @@
 func (r *Remote) InjectFault(ctx context.Context, f Fault) error {
 	url, ok := r.StandIns[f.Target]
 	if !ok {
-		return fmt.Errorf("unknown fault target %s", f.Target)
+		return fmt.Errorf("no target %s", f.Target)
 	}
 	return PostFault(ctx, url, f)
 }
