--- a/cmd/vaneyoked/soak_crash_test.go
+++ b/cmd/vaneyoked/soak_crash_test.go
@@ -90,12 +90,12 @@
 		if i < 0 {
 			return // it was replaced in the meantime
 		}
-		if again && e.Again() {
+		if again && e.Restart() {
 			s.store.ListEngine(e, false)
 			return
 		}
 		s.store.UnlistEngine(e)
-		if next := e.Follow(fmt.Sprintf("i-%d", len(s.engines))); next != nil {
+		if next := e.ReplaceWith(fmt.Sprintf("i-%d", len(s.engines))); next != nil {
 			s.engines, s.live[i] = append(s.engines, next), next
 			s.crashOnBody(next)
 			s.store.ListEngine(next, false)
--- a/cmd/vaneyoked/soak_duties_test.go
+++ b/cmd/vaneyoked/soak_duties_test.go
@@ -40,7 +40,7 @@
 			}
 			s := &dutySoak{soak: newSoak(t, orDefault(*soakNodes, dutyNodes), replace...), checksTokens: fenced}
 			if !fenced {
-				s.store.Cloud().TrustTokens()
+				s.store.Cloud().AcceptStaleTokens()
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var callers sync.WaitGroup
@@ -96,17 +96,17 @@
 	case 1:
 		s.freezeNode(n, randomTime(3))
 	case 2, 3: // the write is committed, and its answer arrives while the node is frozen or after its lease has expired
-		s.store.HoldAnswers(randomTime(2.5))
+		s.store.DelayReplies(randomTime(2.5))
 		time.Sleep(dutyLease / 2)
 		if rng.IntN(2) == 0 {
 			s.freezeNode(n, randomTime(3))
 		}
-		s.store.HoldAnswers(0)
+		s.store.DelayReplies(0)
 	case 4:
-		s.store.HoldAnswers(randomTime(2.5))
+		s.store.DelayReplies(randomTime(2.5))
 		time.Sleep(dutyLease / 2)
 		s.killAndRestart(n)
-		s.store.HoldAnswers(0)
+		s.store.DelayReplies(0)
 	}
 	time.Sleep(randomTime(2))
 }
@@ -122,7 +122,7 @@
 // Reports of a holder that was disrupted at that time do not count.
 func (s *dutySoak) checkTokens() {
 	var lower []platformtest.UsageReport
-	for _, r := range s.store.Cloud().Lower() {
+	for _, r := range s.store.Cloud().StaleReports() {
 		for _, n := range s.allNodes() {
 			if n.name == r.Holder && !n.disruptedDuring(span{r.At, r.At}) {
 				lower = append(lower, r)
--- a/cmd/vaneyoked/soak_limits_test.go
+++ b/cmd/vaneyoked/soak_limits_test.go
@@ -27,7 +27,7 @@
 )
 
 // limitBound is the load that an engine which declares a limit may get, beginning one second after it is declared.
-var limitBound = platformtest.LimitBound{Window: 4 * time.Second, Share: 1.5, Over: 5, Known: time.Second}
+var limitBound = platformtest.LimitBound{Window: 4 * time.Second, Share: 1.5, Slack: 5, Grace: time.Second}
 
 // limitSoak runs engines that declare limits, change them and withdraw them.
 type limitSoak struct {
@@ -57,7 +57,7 @@
 		callers.Go(func() { s.sendCalls(ctx, callerRNG) })
 	}
 	for range limitRounds {
-		time.Sleep(limitBound.Known)
+		time.Sleep(limitBound.Grace)
 		for range 1 + rng.IntN(3) {
 			s.disrupt(rng)
 		}
@@ -96,7 +96,7 @@
 // setLimit makes an engine declare a limit, 0 for none.
 func (s *limitSoak) setLimit(e *platformtest.Engine, rate float64) {
 	s.rates[e] = rate
-	e.NameLimit(rate)
+	e.DeclareLimit(rate)
 }
 
 // changeLimits changes or withdraws the limits of random engines.
@@ -157,7 +157,7 @@
 				s.killAndRestart(n)
 			}
 			s.changeLimits(rng)
-			time.Sleep(limitBound.Known)
+			time.Sleep(limitBound.Grace)
 		})
 	case 5:
 		s.addReadyNode()
@@ -175,7 +175,7 @@
 			s.setLimit(e, 0) // the next incarnation declares none
 		}
 		time.Sleep(engineDowntime)
-		must.True(s.t, e.Again())
+		must.True(s.t, e.Restart())
 		s.store.ListEngine(e, false)
 	}
 }
@@ -193,8 +193,8 @@
 // checkLimits compares the requests that engines received with the limits that they declared.
 func (s *limitSoak) checkLimits() {
 	for _, e := range s.limited {
-		load, ok := e.Heaviest(limitBound)
-		s.t.Logf("%s: at most %d in %s, allowed %.1f", e.ID, load.Got, limitBound.Window, load.Allowed)
-		must.LessEq(s.t, load.Allowed, float64(load.Got), must.Sprint(e.ID, ok, load.From))
+		load, ok := e.PeakLoad(limitBound)
+		s.t.Logf("%s: at most %d in %s, allowed %.1f", e.ID, load.Requests, limitBound.Window, load.Allowed)
+		must.LessEq(s.t, load.Allowed, float64(load.Requests), must.Sprint(e.ID, ok, load.From))
 	}
 }
--- a/cmd/vaneyoked/soak_pushback_test.go
+++ b/cmd/vaneyoked/soak_pushback_test.go
@@ -107,7 +107,7 @@
 		e := s.randomEngine(rng)
 		e.Crash()
 		time.Sleep(engineDowntime)
-		must.True(s.t, e.Again())
+		must.True(s.t, e.Restart())
 		s.store.ListEngine(e, false)
 	}
 }
@@ -194,9 +194,9 @@
 	sent := func(id string) time.Time { return s.sends[id].at }
 	most := 0
 	for _, e := range s.engines {
-		unwanted := e.Unwanted(pushGrace, incarnation)
+		unwanted := e.MaxRequestsDuringPushback(pushGrace, incarnation)
 		must.LessEq(s.t, maxUnwanted, unwanted, must.Sprint(e.ID))
-		must.Zero(s.t, e.AfterLeaving(drainWithin, incarnation, sent), must.Sprint(e.ID))
+		must.Zero(s.t, e.AttemptsAfterLeaving(drainWithin, incarnation, sent), must.Sprint(e.ID))
 		most = max(most, unwanted)
 	}
 	s.t.Logf("%d requests; at most %d of a node during a pushback", len(s.sends), most)
--- a/cmd/vaneyoked/soak_raw_test.go
+++ b/cmd/vaneyoked/soak_raw_test.go
@@ -167,7 +167,7 @@
 		a.err = err
 		return true
 	}
-	a.status, a.signedBy, a.answerID = res.StatusCode, platformtest.SignedBy(res), platformtest.AnswerTo(res)
+	a.status, a.signedBy, a.answerID = res.StatusCode, platformtest.SignedBy(res), platformtest.AttemptIDOf(res)
 	text, err := io.ReadAll(res.Body)
 	a.text, a.err = string(text), err
 	a.strayBytes = c.in.Buffered()
--- a/cmd/vaneyoked/soak_slow_test.go
+++ b/cmd/vaneyoked/soak_slow_test.go
@@ -23,7 +23,7 @@
 	s := newSoak(t, orDefault(*soakNodes, faultNodes))
 	reports := 0
 	for _, e := range s.engines {
-		e.SpoilAll(platformtest.Fault{Pause: gap, Stretch: stretch})
+		e.SpoilAll(platformtest.Fault{Pause: gap, LongPause: stretch})
 		reports -= e.Reports()
 	}
 	before := s.streamRuns()
--- a/cmd/vaneyoked/soak_test.go
+++ b/cmd/vaneyoked/soak_test.go
@@ -81,7 +81,7 @@
 	s := &soak{t: t, store: platformtest.NewStore(), logs: t.TempDir()}
 	t.Cleanup(s.store.Close)
 	t.Cleanup(func() {
-		must.SliceEmpty(t, s.store.Cloud().Wrong())
+		must.SliceEmpty(t, s.store.Cloud().Violations())
 		t.Logf("%d reports of usage, %d calls with a lower token", len(s.store.Cloud().Reports()), s.store.Cloud().Refused())
 	})
 	if *soakLogs != "" {
--- a/cmd/vaneyoked/soak_upgrade_test.go
+++ b/cmd/vaneyoked/soak_upgrade_test.go
@@ -189,9 +189,9 @@
 	default:
 		for _, e := range s.limitedEngines() {
 			if rng.IntN(3) > 0 {
-				e.NameLimit(1 + 4*rng.Float64())
+				e.DeclareLimit(1 + 4*rng.Float64())
 			} else {
-				e.NameLimit(0)
+				e.DeclareLimit(0)
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 		s.crashes = append(s.crashes, time.Now())
 		s.keyMu.Unlock()
 		time.Sleep(engineDowntime)
-		if e.Again() {
+		if e.Restart() {
 			s.store.ListEngine(e, false)
 		}
 	})
--- a/cmd/vaneyoked/soak_upgrade_verify_test.go
+++ b/cmd/vaneyoked/soak_upgrade_verify_test.go
@@ -13,12 +13,12 @@
 	s.verifyKeys()
 	s.verifyCrashes()
 	for _, e := range s.engines {
-		load, _ := e.HeaviestRuns(limitBound, func(run *platformtest.Run) bool {
+		load, _ := e.PeakRunLoad(limitBound, func(run *platformtest.Run) bool {
 			_, own := s.currentBuildCalls.Load(run.ID())
 			return own
 		})
-		if float64(load.Got) > load.Allowed {
-			s.fail("%s got %d requests of this build in %s, allowed %.1f", e.ID, load.Got, limitBound.Window, load.Allowed)
+		if float64(load.Requests) > load.Allowed {
+			s.fail("%s got %d requests of this build in %s, allowed %.1f", e.ID, load.Requests, limitBound.Window, load.Allowed)
 		}
 	}
 	s.keyMu.Lock()
