--- a/shell/catalog/follower.go
+++ b/shell/catalog/follower.go
@@ -196,7 +196,7 @@
 	f.activate(New(content))
 }
 
-// Answer returns the revision that this node confirms to another one, and the configuration as JSON if it is wanted and newer than known.
+// Confirm returns the revision that this node confirms to another one, and the configuration as JSON if it is wanted and newer than known.
 // The revision is 0 until this node has been confirmed itself. If the other node knows a newer revision, the store is read first.
 func (f *Follower) Confirm(ctx context.Context, known vaneyoke.Revision, want bool) (vaneyoke.Revision, []byte) {
 	if known > f.Current().Revision {
--- a/shell/claims/batcher.go
+++ b/shell/claims/batcher.go
@@ -25,7 +25,7 @@
 	transactions *expvar.Int
 }
 
-// pending is a write that waits for its outcome.
+// pendingWrite is a write that waits for its outcome.
 type pendingWrite struct {
 	put  store.Put
 	done chan error
