--- a/cmd/vaneyoke/demo.go
+++ b/cmd/vaneyoke/demo.go
@@ -98,14 +98,14 @@
 }
 
 // handle prints a chunk of the answer, and kills its engine once after demoKillAt of the answer.
-func (d *demo) handle(piece client.Chunk) {
+func (d *demo) handle(chunk client.Chunk) {
 	now := time.Now()
 	if !d.lastAt.IsZero() {
 		d.longestGap = max(d.longestGap, now.Sub(d.lastAt))
 	}
 	d.lastAt = now
-	d.text.WriteString(piece.Text)
-	fmt.Fprint(d.out, piece.Text)
+	d.text.WriteString(chunk.Text)
+	fmt.Fprint(d.out, chunk.Text)
 	if engine := d.fleet.BusyEngine(); !d.killed && engine != nil && d.text.Len() > demoTokens*demoKillAt*tokenBytes {
 		fmt.Fprint(d.out, " [engine killed] ")
 		engine.Kill(nil)
