--- a/decide/placement/pushback_test.go
+++ b/decide/placement/pushback_test.go
@@ -32,7 +32,7 @@
 		},
 		"another node reports it healthy": func(s *placement.State) { s.RecordGossip(now, "u0", gossip.KindHealthy) },
 		"its entry is listed again":       func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")}) },
-		"its entry lapses and is listed again": func(s *placement.State) {
+		"its entry expires and is listed again": func(s *placement.State) {
 			s.SetUpstreams(nil)
 			s.SetUpstreams([]vaneyoke.Upstream{serviceUpstream("u0")})
 		},
@@ -68,7 +68,7 @@
 			s.RecordSignal(now, signal)
 			for _, id := range []vaneyoke.UpstreamID{"u1", "u2"} { // even failing ones are preferred to it
 				s.RecordGossip(now, id, gossip.KindUnreachable)
-				must.True(t, s.TakesWork(now.Add(time.Second), id))
+				must.True(t, s.AcceptsWork(now.Add(time.Second), id))
 			}
 			prompt := placement.Need{Kind: vaneyoke.KindService, Service: "shop", Affinity: "p", PromptBytes: 100, Replicate: true}
 			prefers, repeat, atMostOnce := prompt, prompt, prompt
@@ -89,7 +89,7 @@
 			replica, ok := s.PickReplica(later, rng(), prompt, serviceUpstream("u1"))
 			must.True(t, ok)
 			must.EqOp(t, "u2", replica.ID)
-			must.False(t, s.TakesWork(later, "u0"))
+			must.False(t, s.AcceptsWork(later, "u0"))
 		})
 	}
 }
@@ -103,22 +103,22 @@
 	restarted := before
 	restarted.Incarnation = 6
 	restarts := map[string]func(s *placement.State){
-		"listed with the new incarnation":     func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
-		"reported by the upstream":            func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{Incarnation: 6}) },
-		"listed again after its entry lapsed": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
+		"listed with the new incarnation":      func(s *placement.State) { s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
+		"reported by the upstream":             func(s *placement.State) { s.Reported(now, "u0", vaneyoke.LoadReport{Incarnation: 6}) },
+		"listed again after its entry expired": func(s *placement.State) { s.SetUpstreams(nil); s.SetUpstreams([]vaneyoke.Upstream{restarted}) },
 	}
 	for name, restart := range restarts {
 		t.Run(name, func(t *testing.T) {
 			s := limitedState()
 			s.SetUpstreams([]vaneyoke.Upstream{before})
 			s.RecordSignal(now, pushback.Signal{Upstream: before, Pushback: 3 * time.Second, Leaving: true})
-			must.False(t, s.TakesWork(now, "u0"))
+			must.False(t, s.AcceptsWork(now, "u0"))
 			restart(s)
-			must.True(t, s.TakesWork(now, "u0"))
+			must.True(t, s.AcceptsWork(now, "u0"))
 			s.RecordSignal(now, pushback.Signal{Upstream: before, Pushback: 3 * time.Second}) // late response of the earlier incarnation
-			must.True(t, s.TakesWork(now, "u0"))
+			must.True(t, s.AcceptsWork(now, "u0"))
 			s.RecordSignal(now, pushback.Signal{Upstream: restarted, Pushback: 3 * time.Second})
-			must.False(t, s.TakesWork(now, "u0"))
+			must.False(t, s.AcceptsWork(now, "u0"))
 		})
 	}
 }
@@ -130,11 +130,11 @@
 	s := limitedState("u0", "u1")
 	s.RecordSignal(now, pushbackSignal("u0", time.Second))
 	now = now.Add(time.Second)
-	must.True(t, s.TakesWork(now, "u0"))
+	must.True(t, s.AcceptsWork(now, "u0"))
 	s.Sent(now, "u0")
-	must.False(t, s.TakesWork(now, "u0"))
+	must.False(t, s.AcceptsWork(now, "u0"))
 	s.FirstToken(now, "u0", time.Millisecond, 0)
-	must.True(t, s.TakesWork(now, "u0"))
+	must.True(t, s.AcceptsWork(now, "u0"))
 }
 
 // TestCallersComeBackWhenAPushbackEnds has all upstreams push back or shut down: callers get retry-after times shortly after the first of them accepts
